--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -423,9 +423,9 @@
             incarnation=f"{one}-1",
             address="",
             renewal=8,
-            fair=share(),
+            fair_shares=share(),
             limits=known,
-            floors={},
+            units_in_use={},
             expired=frozenset(),
             leaving=False,
         )
--- a/benchmarks/capacity_store.py
+++ b/benchmarks/capacity_store.py
@@ -12,8 +12,8 @@
 from standins.simulation import quota as simulation
 
 SETTINGS = quota_model.SeatSettings()
-# The look interval is drawn between 0.8 and 1.0 of renew_s.
-RENEWALS_PER_S = 1 / (SETTINGS.renew_s * 0.9)
+# The look interval is drawn between 0.8 and 1.0 of renew_interval_s.
+RENEWALS_PER_S = 1 / (SETTINGS.renew_interval_s * 0.9)
 READS_PER_S = 2000
 WRITES_PER_S = 500
 # Groups of a simulated host: its region, the link, and the other region,
@@ -43,15 +43,15 @@
     """Return calls and writes of a start at once, and of the next 1,200 s."""
 
     async def run() -> tuple[int, int, int, int]:
-        world = simulation.World(seed=1, settings=SETTINGS)
+        sim = simulation.QuotaSimulation(seed=1, settings=SETTINGS)
         for number in range(hosts):
-            world.start(f"eh{number}", "tallinn-a")
-        await world.run(60.0)
-        start = world.calls, world.writes
-        await world.run(1200.0)
-        for host in world.hosts.values():
+            sim.start(f"eh{number}", "tallinn-a")
+        await sim.run(60.0)
+        start = sim.calls, sim.writes
+        await sim.run(1200.0)
+        for host in sim.hosts.values():
             host.kill()
-        return *start, world.calls - start[0], world.writes - start[1]
+        return *start, sim.calls - start[0], sim.writes - start[1]
 
     return asyncio.run(run())
 
--- a/src/samphirelug/components/admission/const.py
+++ b/src/samphirelug/components/admission/const.py
@@ -8,7 +8,7 @@
 QUEUE_WORK_PART = 0.5
 
 # Queued requests are checked this often for expired deadlines, and for room
-# that nothing announced (ramps, probes, lingering units).
+# that nothing announced (ramps, probes, units awaiting release).
 TICK_S = 0.02
 
 # A request may leave its home region when its wait there is longer.
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -56,7 +56,7 @@
     rank: core.Rank
     service: str
     granted_at_s: float
-    # Pools whose units end with the permit, and later for those that linger.
+    # Units freed with the permit, or after the release delay of their key.
     units: tuple[quota_model.UnitAmount, ...]
 
 
@@ -588,9 +588,11 @@
                 amount = min(reserved, sizes[key])
                 self.ledger.shrink(permit.hold_id, key, amount)
                 self.usage.add(key, opened.rank, amount - reserved)
-            linger_s = self.ledger.linger_s(key) or 0.0
-            if orphaned or linger_s:
-                self.usage.end_at(key, opened.rank, amount, end_s + linger_s)
+            release_delay_s = self.ledger.release_delay_s(key) or 0.0
+            if orphaned or release_delay_s:
+                self.usage.end_at(
+                    key, opened.rank, amount, end_s + release_delay_s
+                )
             else:
                 self.usage.add(key, opened.rank, -amount)
         self.ledger.release_at(permit.hold_id, end_s)
@@ -866,20 +868,20 @@
         own = self.queues[flow.rank]
         ahead = own.by_domain.get(domain, 0)
         places = 0.0
-        linger_s = 0.0
+        release_delay_s = 0.0
         if block is None:
             pass
         elif block.code is Code.OVERLOADED:
             places = float(self._slots_of(flow.service, region).usable)
         elif block.code is Code.LINK_LIMIT:
             places = self.ledger.usable(block.key) / max(1, block.needed)
-            linger_s = quota_const.LINK_LINGER_S
+            release_delay_s = quota_const.LINK_RELEASE_DELAY_S
         else:
             places = float(self.ledger.usable(block.key))
             if block.code is Code.WORK_LIMIT:
                 ahead = own.by_work.get(flow.key.work, 0)
             if block.code is Code.SHIFT_CAP:
-                linger_s = self.ledger.linger_s(block.key) or 0.0
+                release_delay_s = self.ledger.release_delay_s(block.key) or 0.0
         if places <= 0.0 and not self._is_backlogged(flow, now):
             # Without own units only the rate of dispatches is known, and
             # that shows what was asked for until requests have to queue.
@@ -894,7 +896,7 @@
             ahead=ahead,
             part=part,
             places=places,
-            linger_s=linger_s,
+            release_delay_s=release_delay_s,
             now=now,
         )
 
--- a/src/samphirelug/components/admission/estimate.py
+++ b/src/samphirelug/components/admission/estimate.py
@@ -76,7 +76,7 @@
         ahead: int,
         part: float,
         places: float,
-        linger_s: float,
+        release_delay_s: float,
         now: float,
     ) -> float:
         """Return seconds until a request after those ahead finds room.
@@ -88,6 +88,8 @@
         late and there are no places.
         """
         rates = [rate.per_second(now) for rate in self.rates.get(domain, ())]
-        total = max(places / (self.hold_s(domain[0]) + linger_s), sum(rates))
+        total = max(
+            places / (self.hold_s(domain[0]) + release_delay_s), sum(rates)
+        )
         rate = max(part * total, total - sum(rates[:rank]))
         return ahead / rate if rate > 0.0 else math.inf
--- a/src/samphirelug/components/admission/scheduler.py
+++ b/src/samphirelug/components/admission/scheduler.py
@@ -38,7 +38,7 @@
 
 
 class RankUsage:
-    """Count units in use by pool and rank, lingering ones included."""
+    """Count units by pool and rank: in use and awaiting release."""
 
     def __init__(self) -> None:
         self.pools: dict[str, list[int]] = {}
--- a/src/samphirelug/components/quota/const.py
+++ b/src/samphirelug/components/quota/const.py
@@ -14,7 +14,7 @@
     1.0 + CLOCK_DRIFT
 )
 # Reserved link bytes count for this long, the window of bytes_per_s.
-LINK_LINGER_S = 1.0 * (1.0 + CLOCK_DRIFT)
+LINK_RELEASE_DELAY_S = 1.0 * (1.0 + CLOCK_DRIFT)
 # Bound of a header block on a link, with the fields that the entry host adds
 # to a request, such as its deadline.
 LINK_HEADER_BYTES = const.MAX_HEADER_BYTES + 1024
--- a/src/samphirelug/components/quota/ledger.py
+++ b/src/samphirelug/components/quota/ledger.py
@@ -28,7 +28,7 @@
         self.cap: Mapping[str, int] | None = None
         self.valid_until_s = -math.inf
 
-    def allotted(self, key: str, limit: int) -> int:
+    def allocated(self, key: str, limit: int) -> int:
         """Return the units that may be used under the limit in force."""
         units = self.units.get(key, 0)
         limit_then = self.limits.get(key, limit)
@@ -42,14 +42,14 @@
 class KeyState:
     """Hold the account of one key."""
 
-    __slots__ = ("allotted", "borrowed", "key", "limit", "seat", "taken")
+    __slots__ = ("allocated", "borrowed", "key", "limit", "seat", "taken")
 
     def __init__(self, *, key: str) -> None:
         self.key = key
         self.limit: model.QuotaLimit | None = None
         self.seat: SeatState | None = None
         # Units allotted under the limit in force, if the seat is valid.
-        self.allotted = 0
+        self.allocated = 0
         # Plain units of other hosts, until their time runs out.
         self.borrowed = 0
         # Units held, lingering and lent.
@@ -57,14 +57,14 @@
 
     def refresh(self) -> None:
         """Derive the allotment anew after its causes changed."""
-        self.allotted = 0
+        self.allocated = 0
         if self.limit is not None and self.seat is not None:
-            self.allotted = self.seat.allotted(self.key, self.limit.limit)
+            self.allocated = self.seat.allocated(self.key, self.limit.limit)
 
     @property
-    def linger_s(self) -> float:
+    def release_delay_s(self) -> float:
         """Return the linger time of the key, in seconds."""
-        return self.limit.linger_s if self.limit is not None else 0.0
+        return self.limit.release_delay_s if self.limit is not None else 0.0
 
 
 class Loan:
@@ -188,14 +188,14 @@
                 key=key,
                 limit=state.limit.limit if state.limit else 0,
                 share=self._usable(state, now),
-                taken=state.taken,
+                in_use=state.taken,
                 lent=lent.get(key, 0),
             )
             for key, state in self._keys.items()
         )
 
     @property
-    def seat_times(self) -> Mapping[str, float]:
+    def seat_expiries(self) -> Mapping[str, float]:
         """Return the time until which each seat with units is valid."""
         return {
             group: seat.valid_until_s
@@ -218,20 +218,20 @@
             return 0
         return max(0, self._usable(state, self._now()) - state.taken)
 
-    def floor(self, key: str) -> int:
+    def units_in_use(self, key: str) -> int:
         """Return the least that the allotment can be lowered to now."""
         self._now()
         state = self._keys.get(key)
         return 0 if state is None else state.taken
 
-    def linger_s(self, key: str) -> float | None:
+    def release_delay_s(self, key: str) -> float | None:
         """Return the linger time of a key; None where it has no limit."""
         state = self._keys.get(key)
         if state is None or state.limit is None:
             return None
-        return state.limit.linger_s
+        return state.limit.release_delay_s
 
-    def taken_keys(self) -> tuple[str, ...]:
+    def keys_in_use(self) -> tuple[str, ...]:
         """Return the keys that have units held, lingering or lent."""
         self._now()
         return tuple(key for key, state in self._keys.items() if state.taken)
@@ -298,7 +298,9 @@
         loan = Loan(units=taken)
         place = (loan_id, bundle_number)
         self._loans[place] = loan
-        linger_s = max((state.linger_s for state, _ in taken), default=0.0)
+        release_delay_s = max(
+            (state.release_delay_s for state, _ in taken), default=0.0
+        )
 
         def run_out() -> bool:
             if loan.settled:
@@ -308,7 +310,7 @@
                 state.taken -= amount
             return True
 
-        self._at(until_s + const.REQUEST_HOLD_S + linger_s, run_out)
+        self._at(until_s + const.REQUEST_HOLD_S + release_delay_s, run_out)
         return True
 
     def settle(self, loan_id: str, bundle_number: int) -> None:
@@ -391,7 +393,7 @@
         seat = state.seat
         if seat is None or at_s >= seat.valid_until_s:
             return state.borrowed
-        return state.allotted + state.borrowed
+        return state.allocated + state.borrowed
 
     def _borrowed(self, state: KeyState, at_s: float) -> int:
         if not state.borrowed:
@@ -433,7 +435,7 @@
     ) -> bool:
         freed = False
         for state, amount in units:
-            free_at_s = when_s + state.linger_s
+            free_at_s = when_s + state.release_delay_s
             if free_at_s <= now:
                 state.taken -= amount
                 freed = True
--- a/src/samphirelug/components/quota/limits.py
+++ b/src/samphirelug/components/quota/limits.py
@@ -61,16 +61,18 @@
     """
     limits: dict[str, model.QuotaLimit] = {}
 
-    def add(key: str, group: str, limit: int, linger_s: float = 0.0) -> None:
-        limits[key] = model.QuotaLimit(key, group, limit, linger_s)
+    def add(
+        key: str, group: str, limit: int, release_delay_s: float = 0.0
+    ) -> None:
+        limits[key] = model.QuotaLimit(key, group, limit, release_delay_s)
 
     for region, entry in view.regions.items():
         group = region_group(region)
         cap = entry["shift_cap"]
         add(region_key(region), group, entry["max_in_flight"])
         # Longer, since a window on a slower clock must not hold more either.
-        linger_s = cap["interval_s"] * (1.0 + const.CLOCK_DRIFT)
-        add(shift_key(region), group, cap["requests"], linger_s)
+        release_delay_s = cap["interval_s"] * (1.0 + const.CLOCK_DRIFT)
+        add(shift_key(region), group, cap["requests"], release_delay_s)
     for server in view.servers.values():
         group = region_group(server.zone.region)
         add(server_key(server.name), group, server.slots)
@@ -86,7 +88,7 @@
         first, second = link["regions"]
         group = link_group(first, second)
         for key in (link_key(first, second), link_key(second, first)):
-            add(key, group, link["bytes_per_s"], const.LINK_LINGER_S)
+            add(key, group, link["bytes_per_s"], const.LINK_RELEASE_DELAY_S)
     return limits
 
 
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -35,7 +35,7 @@
 UNIT_CHECK_S = 0.25
 UNIT_IDLE_S = 2 * REFUSED_BACKOFF_S
 # The lender takes plain units back by itself after this.
-UNIT_KEEP_S = const.LOAN_S + const.REQUEST_HOLD_S + const.LINK_LINGER_S
+UNIT_KEEP_S = const.LOAN_S + const.REQUEST_HOLD_S + const.LINK_RELEASE_DELAY_S
 # An unused bundle is returned after this, so that its lender can use it.
 IDLE_S = 0.1
 
@@ -202,7 +202,7 @@
         self._unit_tasks[key] = task
         task.add_done_callback(lambda _: self._unit_tasks.pop(key, None))
 
-    def is_collecting(self, key: str) -> bool:
+    def is_requesting_units(self, key: str) -> bool:
         """Return whether plain units of a key are being asked for."""
         return key in self._unit_tasks
 
@@ -350,7 +350,9 @@
                 until_s=until_s,
                 body_bytes=request.body_bytes if crosses_link else math.inf,
                 # A key without a known limit may linger as well.
-                reusable=all(self.ledger.linger_s(key) == 0 for key in keys),
+                reusable=all(
+                    self.ledger.release_delay_s(key) == 0 for key in keys
+                ),
             )
             self._keep(borrowed)
         self._notify()
--- a/src/samphirelug/components/quota/model.py
+++ b/src/samphirelug/components/quota/model.py
@@ -12,7 +12,7 @@
     group: str
     limit: int
     # Units stay reserved for this long after their request has ended.
-    linger_s: float
+    release_delay_s: float
 
 
 class UnitAmount(NamedTuple):
@@ -31,7 +31,7 @@
     # Own units that may be used now.
     share: int
     # Own units held, lingering and lent.
-    taken: int
+    in_use: int
     lent: int
 
 
@@ -72,7 +72,7 @@
     """Set the times of the leases on seats."""
 
     lease_s: float = 900.0
-    renew_s: float = 300.0
+    renew_interval_s: float = 300.0
     # Least time on top of the lease; 1 % of a longer lease for clock drift.
     margin_s: float = 10.0
     # How often changes of limits and hosts are looked for.
@@ -82,4 +82,4 @@
     retry_s: float = 0.5
     retry_max_s: float = 30.0
     # Longest time that a planned stop waits for units to be released.
-    give_up_s: float = 5.0
+    release_timeout_s: float = 5.0
--- a/src/samphirelug/components/quota/seat_keeper.py
+++ b/src/samphirelug/components/quota/seat_keeper.py
@@ -48,7 +48,7 @@
         self.tracker = seats.SeatTracker()
         self.hosts: frozenset[str] = frozenset()
         self.limits: Mapping[str, int] = {}
-        self.fair: Mapping[str, int] = {}
+        self.fair_shares: Mapping[str, int] = {}
         self.hold_s = 0.0
         self.leaving = False
         # Renewal counter of each attempt to the time before it was sent.
@@ -110,10 +110,10 @@
                 task.cancel()
             raise
 
-    async def give_up(self) -> None:
+    async def release_seats(self) -> None:
         """Return all units; waits up to give_up_s for those in use."""
         self.stopping = True
-        end_s = self.timer.monotonic() + self.settings.give_up_s
+        end_s = self.timer.monotonic() + self.settings.release_timeout_s
         for state in self.groups.values():
             state.leaving = True
             self.ledger.cap(group=state.group, units={})
@@ -209,7 +209,7 @@
         state.leaving = leaving
         state.hold_s = max(state.hold_s, seats.longest_hold_s(limits.values()))
         state.hosts = hosts if hosts is not None else frozenset()
-        state.fair = (
+        state.fair_shares = (
             {}
             if leaving
             else seats.fair_share(
@@ -224,7 +224,9 @@
 
     def _weigh(self, state: GroupState) -> seats.Imbalance:
         return seats.weigh(
-            self._own_seat(state), fair=state.fair, limits=state.limits
+            self._own_seat(state),
+            fair_shares=state.fair_shares,
+            limits=state.limits,
         )
 
     def _own_seat(self, state: GroupState) -> model.Seat | None:
@@ -289,10 +291,10 @@
             incarnation=self.host.incarnation,
             address=self.host.peer_url,
             renewal=renewal,
-            fair=state.fair,
+            fair_shares=state.fair_shares,
             limits=state.limits,
-            floors={
-                key: self.ledger.floor(key)
+            units_in_use={
+                key: self.ledger.units_in_use(key)
                 for key in state.limits.keys()
                 | (mine.units.keys() if mine else set())
             },
@@ -389,7 +391,7 @@
         if state.pending_on is not None:
             caps.append(state.pending_units)
         if self._weigh(state).excess:
-            caps.append(state.fair)
+            caps.append(state.fair_shares)
         if not caps:
             return None
         return {
@@ -431,7 +433,7 @@
             if renewal >= seat.renewal
         }
         # A look in the second half of the interval renews as well.
-        state.renew_at_s = sent_s + self.settings.renew_s / 2
+        state.renew_at_s = sent_s + self.settings.renew_interval_s / 2
         self.ledger.set_seat(
             group=state.group,
             units=seat.units,
@@ -443,21 +445,23 @@
     def _look_again(self, state: GroupState, now: float) -> None:
         """Look soon while units are missing or in surplus, then rarely."""
         state.failures = 0
-        renew_s = self.settings.renew_s * self.rng.uniform(0.8, 1.0)
+        renew_interval_s = self.settings.renew_interval_s * self.rng.uniform(
+            0.8, 1.0
+        )
         balance = self._weigh(state)
         if state.leaving or balance.excess or balance.deficit:
             doublings = max(0, state.looks - QUICK_LOOKS)
             state.looks += 1
             wait_s = self._spread_s(state) * 2.0 ** min(doublings, 30)
             wait_s *= self.rng.uniform(0.5, 1.0)
-            state.next_look_s = now + min(wait_s, renew_s)
+            state.next_look_s = now + min(wait_s, renew_interval_s)
             # The units of a host that has stopped come free at a known time.
             soon_s = self.rng.random() * self._spread_s(state)
             free_at_s = max(now, state.tracker.next_free_s()) + soon_s
             state.next_look_s = min(state.next_look_s, free_at_s)
             return
         state.looks = 0
-        state.next_look_s = now + renew_s
+        state.next_look_s = now + renew_interval_s
 
     def _retry_later(self, state: GroupState) -> None:
         wait_s = min(
--- a/src/samphirelug/components/quota/seats.py
+++ b/src/samphirelug/components/quota/seats.py
@@ -136,8 +136,10 @@
 
 def longest_hold_s(limits: Iterable[model.QuotaLimit]) -> float:
     """Return for how long units may be in use after their lease, in s."""
-    linger_s = max((limit.linger_s for limit in limits), default=0.0)
-    return const.LOAN_S + const.REQUEST_HOLD_S + linger_s
+    release_delay_s = max(
+        (limit.release_delay_s for limit in limits), default=0.0
+    )
+    return const.LOAN_S + const.REQUEST_HOLD_S + release_delay_s
 
 
 def fair_share(
@@ -182,7 +184,7 @@
 def weigh(
     seat: model.Seat | None,
     *,
-    fair: Mapping[str, int],
+    fair_shares: Mapping[str, int],
     limits: Mapping[str, int],
 ) -> Imbalance:
     """Compare a seat with the fair share.
@@ -193,7 +195,7 @@
     """
     excess = large_excess = deficit = False
     for key, limit in limits.items():
-        share = fair.get(key, 0)
+        share = fair_shares.get(key, 0)
         over = units_under(seat, key, limit) - share
         excess = excess or over > 0
         large_excess = large_excess or over * 4 > share
@@ -208,9 +210,9 @@
     incarnation: str,
     address: str,
     renewal: int,
-    fair: Mapping[str, int],
+    fair_shares: Mapping[str, int],
     limits: Mapping[str, int],
-    floors: Mapping[str, int],
+    units_in_use: Mapping[str, int],
     expired: frozenset[str],
     leaving: bool,
     free_after_s: float | None = None,
@@ -233,8 +235,8 @@
         amount, limit = _plan_key(
             key,
             limit=limits.get(key, 0),
-            share=0 if leaving else fair.get(key, 0),
-            floor=floors.get(key, 0),
+            share=0 if leaving else fair_shares.get(key, 0),
+            units_in_use=units_in_use.get(key, 0),
             mine=mine,
             taken=taken.get(key, 0),
         )
@@ -290,7 +292,7 @@
     *,
     limit: int,
     share: int,
-    floor: int,
+    units_in_use: int,
     mine: model.Seat | None,
     taken: int,
 ) -> tuple[int, int]:
@@ -298,14 +300,14 @@
     have_limit = mine.limits.get(key, limit) if mine else limit
     scaled = units_under(mine, key, limit)
     target = min(share, max(scaled, limit - taken))
-    floor = min(floor, have)
-    if floor <= target:
+    units_in_use = min(units_in_use, have)
+    if units_in_use <= target:
         return target, limit
-    if floor <= scaled:
-        return floor, limit
+    if units_in_use <= scaled:
+        return units_in_use, limit
     # More is in use than the lowered limit leaves. The old limit is kept
     # with the units, since the weight may not grow.
-    return floor, have_limit
+    return units_in_use, have_limit
 
 
 class SeatTracker:
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -173,7 +173,7 @@
             hosts_of=self.hosts_of,
             settings=quota_model.SeatSettings(
                 lease_s=settings.seat_lease_s,
-                renew_s=settings.seat_lease_s / 3,
+                renew_interval_s=settings.seat_lease_s / 3,
             ),
         )
         self.borrower = loans.Borrower(
@@ -416,7 +416,7 @@
         await self.executor.hand_over()
         for listener in self.listeners:
             listener.stop_accepting()
-        await self.seats.give_up()
+        await self.seats.release_seats()
         self.prober.stop()
         for task in self.tasks:
             task.cancel()
@@ -468,7 +468,8 @@
     ) -> peers_model.Message:
         assert isinstance(message, peers_model.UnitRequest)
         if any(
-            self.borrower.is_collecting(unit.key) for unit in message.units
+            self.borrower.is_requesting_units(unit.key)
+            for unit in message.units
         ):
             # Two hosts that pass each other their units both lack them.
             return peers_model.UnitGrant("", (), 0.0)
--- a/src/samphirelug/status.py
+++ b/src/samphirelug/status.py
@@ -104,13 +104,13 @@
             account.key: {
                 "limit": account.limit,
                 "share": account.share,
-                "free": max(0, account.share - account.taken),
-                "held": account.taken - account.lent,
+                "free": max(0, account.share - account.in_use),
+                "held": account.in_use - account.lent,
                 "lent": account.lent,
                 "borrowed": borrowed.pop(account.key, 0),
             }
             for account in own.ledger.accounts
-            if account.share or account.taken or account.key in borrowed
+            if account.share or account.in_use or account.key in borrowed
         }
         for key, amount in borrowed.items():
             found[key] = dict.fromkeys(
@@ -124,7 +124,7 @@
         now = own.timer.monotonic()
         return {
             group: round(max(0.0, until_s - now), 1)
-            for group, until_s in own.ledger.seat_times.items()
+            for group, until_s in own.ledger.seat_expiries.items()
         }
 
     def overloaded(self) -> list[str]:
--- a/standins/simulation/quota.py
+++ b/standins/simulation/quota.py
@@ -39,7 +39,7 @@
 STEP_S = 0.25
 BULK_KEYS = ("link:tallinn>tartu", "link:tartu>tallinn")
 SETTINGS = model.SeatSettings(
-    lease_s=20.0, renew_s=6.0, margin_s=1.0, retry_max_s=2.0
+    lease_s=20.0, renew_interval_s=6.0, margin_s=1.0, retry_max_s=2.0
 )
 
 
@@ -86,7 +86,7 @@
         self.view = view
 
 
-class World:
+class QuotaSimulation:
     """Own the clock, the store's objects, the hosts and the true use."""
 
     def __init__(self, *, seed: int, settings: model.SeatSettings) -> None:
@@ -139,7 +139,7 @@
         linger = limits.quota_limits(self.view)
         self.dispatches += 1
         for key, amount in bundle.units:
-            until_s = end_s + linger[key].linger_s
+            until_s = end_s + linger[key].release_delay_s
             uses = [
                 use for use in self.in_use.get(key, ()) if use.until_s > now
             ]
@@ -163,7 +163,7 @@
             host.later(self.rng.random(), host.take_view)
 
     def start(self, name: str, zone: str) -> "Host":
-        host = Host(world=self, name=name, zone=zone)
+        host = Host(sim=self, name=name, zone=zone)
         self.hosts[name] = host
         return host
 
@@ -193,8 +193,8 @@
 class Host:
     """Run the quota parts of one entry host."""
 
-    def __init__(self, *, world: World, name: str, zone: str) -> None:
-        self.world = world
+    def __init__(self, *, sim: QuotaSimulation, name: str, zone: str) -> None:
+        self.sim = sim
         self.name = name
         self.region = zone[:-2]
         self.paused = False
@@ -204,17 +204,15 @@
         self.demand = 0.5
         self.orphans = 0.1
         self.timer = timer_helper.ManualTimerService(
-            start_s=world.timer.monotonic()
+            start_s=sim.timer.monotonic()
         )
-        self.catalogue = CatalogueHolder(world.view)
+        self.catalogue = CatalogueHolder(sim.view)
         self.ledger = quota_ledger.QuotaLedger(timer=self.timer)
         # As admission does, units are used as they may be free.
         self.ledger.on_free.append(self.load_in_step)
         self.mesh = FakeMesh(self)
         identity = builders.make_host(name, zone=zone)
-        identity = identity._replace(
-            incarnation=f"{name}-{next(world.starts)}"
-        )
+        identity = identity._replace(incarnation=f"{name}-{next(sim.starts)}")
         self.borrower = loans.Borrower(
             ledger=self.ledger,
             mesh=self.mesh,
@@ -231,11 +229,11 @@
             store=FakeStore(self),
             ledger=self.ledger,
             timer=self.timer,
-            rng=world.rng,
+            rng=sim.rng,
             host=identity,
             catalogue=self.catalogue,
-            hosts_of=world.names_in,
-            settings=world.settings,
+            hosts_of=sim.names_in,
+            settings=sim.settings,
         )
         self.take_view()
         self.task = asyncio.get_running_loop().create_task(self.keeper.run())
@@ -243,28 +241,28 @@
     def take_view(self) -> None:
         if self.dead:
             return
-        self.catalogue.view = self.world.view
-        counts = limits.quota_limits(self.world.view)
+        self.catalogue.view = self.sim.view
+        counts = limits.quota_limits(self.sim.view)
         self.ledger.set_limits(counts)
-        self.world.learn(
+        self.sim.learn(
             self, {key: limit.limit for key, limit in counts.items()}
         )
 
     def later(self, delay_s: float, callback: Callable[[], None]) -> None:
         """Call back on this host's event loop; not while it is paused."""
         self.timer.call_at(
-            when_s=self.world.timer.monotonic() + delay_s, callback=callback
+            when_s=self.sim.timer.monotonic() + delay_s, callback=callback
         )
 
     def kill(self) -> None:
         self.dead = True
         self.task.cancel()
-        self.world.learn(self, {})
+        self.sim.learn(self, {})
 
     def resume(self) -> None:
         """Wake after a pause; the first reading of the clock is late."""
         self.paused = False
-        self.timer.now_s = self.world.timer.monotonic()
+        self.timer.now_s = self.sim.timer.monotonic()
         # Work may be dispatched before any timer callback has run.
         self.load()
 
@@ -282,14 +280,14 @@
 
     def load_units(self) -> None:
         """Try to dispatch a few requests, with own units or borrowed."""
-        if self.world.bulk_bytes:
+        if self.sim.bulk_bytes:
             self.load_bulk()
             return
-        rng = self.world.rng
+        rng = self.sim.rng
         for _ in range(4):
             if rng.random() >= self.demand:
                 continue
-            server = rng.choice(list(self.world.view.servers.values()))
+            server = rng.choice(list(self.sim.view.servers.values()))
             home = rng.choice(["tallinn", "tartu"])
             bundle = self.bundle(server, self.region, home)
             hold = self.ledger.try_hold(bundle)
@@ -309,14 +307,14 @@
                     count=2,
                 )
             else:
-                self.world.loans += 1
+                self.sim.loans += 1
                 self.dispatch(permit.bundle, permit.hold_id, permit)
 
     def load_bulk(self) -> None:
         """Try to dispatch a request that needs many bytes of a link."""
-        amount = self.world.bulk_bytes
-        key = self.world.rng.choice(BULK_KEYS)
-        if self.world.rng.random() >= self.demand:
+        amount = self.sim.bulk_bytes
+        key = self.sim.rng.choice(BULK_KEYS)
+        if self.sim.rng.random() >= self.demand:
             return
         bundle = model.Bundle("tartu", "s", (model.UnitAmount(key, amount),))
         hold = self.ledger.try_hold(bundle)
@@ -328,7 +326,7 @@
     def bundle(
         self, server: core.BackendServer, host_region: str, home: str
     ) -> model.Bundle:
-        view = self.world.view
+        view = self.sim.view
         return limits.bundle_for(
             view=view,
             work=view.works["status"],
@@ -345,13 +343,13 @@
         permit: admission_model.Permit | None,
     ) -> None:
         """Use a permit for a time; the server may work on for longer."""
-        rng = self.world.rng
-        now = self.world.timer.monotonic()
+        rng = self.sim.rng
+        now = self.sim.timer.monotonic()
         orphaned = rng.random() < self.orphans
         duration_s = rng.choice([0.3, 1.0, 4.0])
         deadline_s = now + (rng.uniform(20, 30) if orphaned else duration_s)
         end_s = deadline_s + 0.5 if orphaned else deadline_s
-        self.world.used(bundle, end_s)
+        self.sim.used(bundle, end_s)
         if permit is not None:
             ended = admission_model.PermitEnd(
                 "orphaned" if orphaned else "complete"
@@ -374,10 +372,10 @@
     ) -> peer_model.Message:
         """Lend what is asked for, as it is free."""
         assert isinstance(message, peer_model.GrantRequest)
-        loan_id = f"{self.identity.incarnation}/{next(self.world.starts)}"
+        loan_id = f"{self.identity.incarnation}/{next(self.sim.starts)}"
         lent: list[model.Bundle] = []
-        view = self.world.view
-        duration_s = self.world.rng.choice([0.5, 1.0]) * const.LOAN_S
+        view = self.sim.view
+        duration_s = self.sim.rng.choice([0.5, 1.0]) * const.LOAN_S
         for server in view.servers_in(service="filing", region=message.region):
             bundle = self.bundle(
                 server, message.host_region, message.home_region
@@ -402,12 +400,14 @@
     ) -> peer_model.Message:
         """Lend all that is free, up to what is asked for."""
         assert isinstance(message, peer_model.UnitRequest)
-        loan_id = f"{self.identity.incarnation}/{next(self.world.starts)}"
+        loan_id = f"{self.identity.incarnation}/{next(self.sim.starts)}"
         units = tuple(
             model.UnitAmount(key, min(amount, self.ledger.free(key)))
             for key, amount in message.units
         )
-        wanted = any(self.borrower.is_collecting(key) for key, _ in units)
+        wanted = any(
+            self.borrower.is_requesting_units(key) for key, _ in units
+        )
         enough = all(unit.amount for unit in units) and not wanted
         lent = enough and self.ledger.lend(
             units,
@@ -415,7 +415,7 @@
             bundle_number=0,
             until_s=self.timer.monotonic() + const.LOAN_S,
         )
-        self.world.unit_loans += lent
+        self.sim.unit_loans += lent
         return peer_model.UnitGrant(
             loan_id, units if lent else (), const.LOAN_S
         )
@@ -431,7 +431,7 @@
     def live_peers(self) -> tuple[peer_model.PeerView, ...]:
         peers = [
             peer
-            for peer in self.host.world.hosts.values()
+            for peer in self.host.sim.hosts.values()
             if peer is not self.host and not peer.dead
         ]
         return tuple(map(self.view_of, peers))
@@ -463,29 +463,29 @@
         message: peer_model.Message,
         answer: Callable[[peer_model.Message | None], None],
     ) -> None:
-        world = self.host.world
-        peer = world.hosts.get(name)
-        if peer is None or self.host.cut_off or peer.cut_off or world.fails():
+        sim = self.host.sim
+        peer = sim.hosts.get(name)
+        if peer is None or self.host.cut_off or peer.cut_off or sim.fails():
             return
         handler = peer.mesh.handlers[type(message)]
 
         async def handle() -> None:
             answer(await handler(self.host.name, message))
 
-        delay_s = world.rng.choice([0.0, 0.3, 3.0 if world.fails() else 0.1])
+        delay_s = sim.rng.choice([0.0, 0.3, 3.0 if sim.fails() else 0.1])
         peer.later(delay_s, lambda: spawn(handle()))
-        if world.fails() and isinstance(message, peer_model.GrantReturn):
+        if sim.fails() and isinstance(message, peer_model.GrantReturn):
             peer.later(delay_s + 5.0, lambda: spawn(handle()))
 
     async def request(
         self, host: str, message: peer_model.Message, *, timeout_s: float
     ) -> Result[peer_model.Message, result_codes.Refusal]:
         box: list[peer_model.Message | None] = []
-        world = self.host.world
+        sim = self.host.sim
         self.deliver(
             host,
             message,
-            lambda got: None if world.fails() else box.append(got),
+            lambda got: None if sim.fails() else box.append(got),
         )
         end_s = self.host.timer.monotonic() + timeout_s
         while not box and self.host.timer.monotonic() < end_s:
@@ -527,22 +527,22 @@
         *,
         extra_delay_s: float = 0.0,
     ) -> Result[store_model.StoredObject, result_codes.Refusal]:
-        world = self.host.world
-        world.calls += 1
-        if not world.store_up:
+        sim = self.host.sim
+        sim.calls += 1
+        if not sim.store_up:
             await self.host.timer.sleep(STEP_S)
             return self.refuse(CODES.STORE_UNAVAILABLE)
         box: list[Result[store_model.StoredObject, result_codes.Refusal]] = []
-        delay_s = world.rng.random() * STEP_S + extra_delay_s
-        if world.fails():
+        delay_s = sim.rng.random() * STEP_S + extra_delay_s
+        if sim.fails():
             # May take effect long after the caller has given up waiting.
-            delay_s = world.rng.uniform(1.0, 8.0)
-        if not world.fails():
-            world.timer.call_at(
-                when_s=world.timer.monotonic() + delay_s,
+            delay_s = sim.rng.uniform(1.0, 8.0)
+        if not sim.fails():
+            sim.timer.call_at(
+                when_s=sim.timer.monotonic() + delay_s,
                 callback=lambda: box.append(action()),
             )
-        lost = world.fails()
+        lost = sim.fails()
         end_s = self.host.timer.monotonic() + 1.0
         while not box and self.host.timer.monotonic() < end_s:
             await self.host.timer.sleep(STEP_S)
@@ -561,7 +561,7 @@
         self, key: str
     ) -> Result[store_model.StoredObject, result_codes.Refusal]:
         def action() -> Result[store_model.StoredObject, result_codes.Refusal]:
-            found = self.host.world.objects.get(key)
+            found = self.host.sim.objects.get(key)
             if found is None:
                 return self.refuse(CODES.OBJECT_NOT_FOUND)
             return Success(found)
@@ -572,18 +572,18 @@
         self, key: str, value: Mapping[str, Any], *, expected_revision: int
     ) -> Result[store_model.StoredObject, result_codes.Refusal]:
         def action() -> Result[store_model.StoredObject, result_codes.Refusal]:
-            world = self.host.world
-            found = world.objects.get(key)
+            sim = self.host.sim
+            found = sim.objects.get(key)
             if (found.revision if found else 0) != expected_revision:
                 return self.refuse(CODES.STORE_CONFLICT)
-            world.revision += 1
-            world.writes += 1
-            stored = store_model.StoredObject(key, world.revision, value)
-            world.objects[key] = stored
+            sim.revision += 1
+            sim.writes += 1
+            stored = store_model.StoredObject(key, sim.revision, value)
+            sim.objects[key] = stored
             return Success(stored)
 
         return await self.call(
-            action, extra_delay_s=self.host.world.write_delay_s
+            action, extra_delay_s=self.host.sim.write_delay_s
         )
 
     async def list(
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -397,6 +397,6 @@
         await rig.advance(12.0, step_s=0.5)
         assert all(task.done() for task in tasks)
         assert rig.admission.queued() == (0, 0, 0)
-        assert rig.ledger.taken_keys() == ()
+        assert rig.ledger.keys_in_use() == ()
 
     run(test())
--- a/tests/components/quota/test_ledger.py
+++ b/tests/components/quota/test_ledger.py
@@ -17,12 +17,13 @@
 
 GROUP = "region/r"
 KEYS = ("region:r", "shift:r")
-LINGER_S = {"region:r": 0.0, "shift:r": 5.0}
+RELEASE_DELAY_S = {"region:r": 0.0, "shift:r": 5.0}
 
 
 def make_limits(limit: int) -> dict[str, model.QuotaLimit]:
     return {
-        key: model.QuotaLimit(key, GROUP, limit, LINGER_S[key]) for key in KEYS
+        key: model.QuotaLimit(key, GROUP, limit, RELEASE_DELAY_S[key])
+        for key in KEYS
     }
 
 
@@ -55,7 +56,7 @@
     timer.advance(10.0)
     assert ledger.try_hold(make_bundle(1)) == Failure("region:r")
     assert ledger.usable("region:r") == 0
-    assert ledger.floor("region:r") == 1
+    assert ledger.units_in_use("region:r") == 1
 
 
 def test_loan_does_not_outlast_the_seat() -> None:
@@ -110,7 +111,7 @@
     timer.advance(0.2)
     assert ledger.free("region:r") == 4
     ledger.settle("l", 1)
-    assert ledger.floor("region:r") == 0
+    assert ledger.units_in_use("region:r") == 0
 
 
 def test_settling_is_idempotent_and_starts_the_linger_time() -> None:
@@ -122,10 +123,10 @@
         )
     ledger.settle("l", 1)
     ledger.settle("l", 1)
-    assert ledger.floor("region:r") == 1
-    assert ledger.floor("shift:r") == 2
+    assert ledger.units_in_use("region:r") == 1
+    assert ledger.units_in_use("shift:r") == 2
     timer.advance(5.0)
-    assert ledger.floor("shift:r") == 1
+    assert ledger.units_in_use("shift:r") == 1
 
 
 def test_bundle_numbers_start_at_one() -> None:
@@ -199,7 +200,7 @@
 
     def end(self, units: list[int], when_s: float) -> None:
         for key, amount in zip(KEYS, units, strict=True):
-            self.ending.append((when_s + LINGER_S[key], key, amount))
+            self.ending.append((when_s + RELEASE_DELAY_S[key], key, amount))
 
     @rule(amounts=st.lists(st.integers(1, 3), min_size=2, max_size=2))
     def hold(self, amounts: list[int]) -> None:
@@ -265,7 +266,7 @@
     @invariant()
     def counts_agree(self) -> None:
         for key in KEYS:
-            assert self.ledger.floor(key) == self.in_use(key)
+            assert self.ledger.units_in_use(key) == self.in_use(key)
 
 
 TestLedgerMachine = LedgerMachine.TestCase
--- a/tests/components/quota/test_limits.py
+++ b/tests/components/quota/test_limits.py
@@ -34,7 +34,7 @@
     assert known["shift:tartu"] == model.QuotaLimit(
         "shift:tartu", "region/tartu", 10, 5.05
     )
-    assert known["link:tartu>tallinn"].linger_s == 1.01
+    assert known["link:tartu>tallinn"].release_delay_s == 1.01
 
 
 def test_local_request_needs_no_shift_or_link_units() -> None:
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -58,11 +58,11 @@
     """Borrow two bundles, run the check and return the messages sent."""
 
     async def run() -> list[tuple[float, peer_model.Message]]:
-        world = simulation.World(seed=0, settings=simulation.SETTINGS)
-        host = world.start("eh1", "tartu-a")
-        lender = world.start("eh2", "tallinn-a")
+        sim = simulation.QuotaSimulation(seed=0, settings=simulation.SETTINGS)
+        host = sim.start("eh1", "tartu-a")
+        lender = sim.start("eh2", "tallinn-a")
         lender.ledger = quota_ledger.QuotaLedger(timer=lender.timer)
-        counts = limits.quota_limits(world.view)
+        counts = limits.quota_limits(sim.view)
         lender.ledger.set_limits(counts)
         lender.ledger.set_seat(
             group="region/tallinn",
--- a/tests/components/quota/test_seat_keeper.py
+++ b/tests/components/quota/test_seat_keeper.py
@@ -23,38 +23,44 @@
 
 
 def simulate(
-    scenario: Callable[[simulation.World], Coroutine[None, None, None]],
+    scenario: Callable[
+        [simulation.QuotaSimulation], Coroutine[None, None, None]
+    ],
     *,
     seed: int = 0,
     settings: model.SeatSettings = simulation.SETTINGS,
-) -> simulation.World:
-    """Run a scenario on a new world and return it."""
+) -> simulation.QuotaSimulation:
+    """Run a scenario on a new simulation and return it."""
 
-    async def run() -> simulation.World:
-        world = simulation.World(seed=seed, settings=settings)
-        await scenario(world)
-        for host in world.hosts.values():
+    async def run() -> simulation.QuotaSimulation:
+        sim = simulation.QuotaSimulation(seed=seed, settings=settings)
+        await scenario(sim)
+        for host in sim.hosts.values():
             host.kill()
-        return world
+        return sim
 
     return asyncio.run(run())
 
 
-def start_all(world: simulation.World) -> None:
+def start_all(sim: simulation.QuotaSimulation) -> None:
     for name, zone in ZONES.items():
-        world.start(name, zone)
+        sim.start(name, zone)
 
 
-def shares(world: simulation.World, key: str = REGION) -> dict[str, int]:
+def shares(
+    sim: simulation.QuotaSimulation, key: str = REGION
+) -> dict[str, int]:
     return {
         name: host.ledger.usable(key)
-        for name, host in world.hosts.items()
+        for name, host in sim.hosts.items()
         if not host.dead and host.ledger.usable(key)
     }
 
 
-def stored_units(world: simulation.World, key: str = REGION) -> dict[str, int]:
-    value = world.objects["seats/region/tallinn"].value
+def stored_units(
+    sim: simulation.QuotaSimulation, key: str = REGION
+) -> dict[str, int]:
+    value = sim.objects["seats/region/tallinn"].value
     table = seats.decode_table("region/tallinn", value).unwrap()
     return {
         name: seat.units[key]
@@ -63,27 +69,27 @@
     }
 
 
-async def stop(world: simulation.World, host: simulation.Host) -> None:
+async def stop(sim: simulation.QuotaSimulation, host: simulation.Host) -> None:
     """Stop a host as planned, with what is in use by then."""
-    await world.run(3.0)
+    await sim.run(3.0)
     if host.paused or host.dead:
         return
-    task = asyncio.get_running_loop().create_task(host.keeper.give_up())
-    await world.run(8.0)
+    task = asyncio.get_running_loop().create_task(host.keeper.release_seats())
+    await sim.run(8.0)
     assert task.done()
     host.kill()
 
 
-async def disturb(world: simulation.World, rng: random.Random) -> None:
+async def disturb(sim: simulation.QuotaSimulation, rng: random.Random) -> None:
     """Repair some of what is broken, then break something."""
-    for name in sorted(world.hosts):
-        broken = world.hosts[name]
+    for name in sorted(sim.hosts):
+        broken = sim.hosts[name]
         if rng.random() < 0.4 and broken.dead:
-            world.start(name, ZONES[name])
+            sim.start(name, ZONES[name])
         elif rng.random() < 0.3 and broken.paused:
             broken.resume()
-    world.store_up = world.store_up or rng.random() < 0.4
-    host = world.hosts[rng.choice(sorted(world.hosts))]
+    sim.store_up = sim.store_up or rng.random() < 0.4
+    host = sim.hosts[rng.choice(sorted(sim.hosts))]
     action = rng.randrange(8)
     if host.dead or host.paused:
         return
@@ -94,86 +100,86 @@
     elif action == 2:
         host.cut_off = not host.cut_off
     elif action == 3:
-        world.store_up = False
+        sim.store_up = False
     elif action == 4:
-        world.set_view(
+        sim.set_view(
             simulation.make_view(rng.choice([3, 7, 14]), rng.choice([2, 5]))
         )
     elif action == 5:
-        world.failure_rate = rng.choice([0.0, 0.1, 0.4])
+        sim.failure_rate = rng.choice([0.0, 0.1, 0.4])
     elif action == 6:
         host.demand = rng.choice([0.0, 0.1, 1.0])
     else:
-        await stop(world, host)
+        await stop(sim, host)
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_limits_hold_through_faults(seed: int) -> None:
     """More use than a limit allows is caught at the dispatch."""
 
-    async def scenario(world: simulation.World) -> None:
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
         rng = random.Random(seed)
-        start_all(world)
-        await world.run(10.0)
+        start_all(sim)
+        await sim.run(10.0)
         for _ in range(40):
-            await disturb(world, rng)
-            await world.run(rng.choice([0.5, 3.0, 10.0, 30.0]))
+            await disturb(sim, rng)
+            await sim.run(rng.choice([0.5, 3.0, 10.0, 30.0]))
 
-    world = simulate(scenario, seed=seed)
+    sim = simulate(scenario, seed=seed)
     # The check cannot bite unless hosts come near the limits.
-    assert world.dispatches > 150
-    assert world.loans > 10
-    assert world.unit_loans > 10
-    assert world.peak[REGION] > 0.8
+    assert sim.dispatches > 150
+    assert sim.loans > 10
+    assert sim.unit_loans > 10
+    assert sim.peak[REGION] > 0.8
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_borrowed_bytes_keep_the_limit_of_a_link(seed: int) -> None:
     """Each request needs more bytes than its host's own share."""
 
-    async def scenario(world: simulation.World) -> None:
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
         rng = random.Random(seed)
-        world.bulk_bytes = 24_000
-        start_all(world)
-        await world.run(10.0)
+        sim.bulk_bytes = 24_000
+        start_all(sim)
+        await sim.run(10.0)
         for _ in range(30):
-            await disturb(world, rng)
-            for host in world.hosts.values():
+            await disturb(sim, rng)
+            for host in sim.hosts.values():
                 host.demand = 1.0
-            await world.run(rng.choice([0.5, 3.0, 10.0]))
+            await sim.run(rng.choice([0.5, 3.0, 10.0]))
 
-    world = simulate(scenario, seed=seed)
-    assert world.dispatches > 10
-    assert world.unit_loans > 50
-    assert max(world.peak[key] for key in simulation.BULK_KEYS) >= 0.6
+    sim = simulate(scenario, seed=seed)
+    assert sim.dispatches > 10
+    assert sim.unit_loans > 50
+    assert max(sim.peak[key] for key in simulation.BULK_KEYS) >= 0.6
 
 
 def test_newcomer_gets_its_share_within_seconds() -> None:
     """Without a prompt re-plan it would wait for renewals after 300 s."""
 
-    async def scenario(world: simulation.World) -> None:
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
         for name in ("eh1", "eh2"):
-            world.start(name, ZONES[name])
-        await world.run(10.0)
-        assert sorted(shares(world).values()) == [3, 4]
-        for host in world.hosts.values():
+            sim.start(name, ZONES[name])
+        await sim.run(10.0)
+        assert sorted(shares(sim).values()) == [3, 4]
+        for host in sim.hosts.values():
             # More than the hosts can serve: they are never idle.
             host.demand, host.orphans = 1.0, 0.0
-        await world.run(60.0)
-        calls = world.calls
-        world.start("eh3", ZONES["eh3"]).orphans = 0.0
-        await world.run(10.0)
-        assert sorted(shares(world).values()) == [2, 2, 3]
+        await sim.run(60.0)
+        calls = sim.calls
+        sim.start("eh3", ZONES["eh3"]).orphans = 0.0
+        await sim.run(10.0)
+        assert sorted(shares(sim).values()) == [2, 2, 3]
         # Ten calls for each of three hosts in each of three groups, one of
         # which is the region without hosts.
-        assert world.calls - calls < 90
-        for host in world.hosts.values():
+        assert sim.calls - calls < 90
+        for host in sim.hosts.values():
             host.demand = 0.0
-        await world.run(60.0)
-        calls = world.calls
-        await world.run(900.0)
+        await sim.run(60.0)
+        calls = sim.calls
+        await sim.run(900.0)
         # At most five renewals, each a read and a write.
-        assert world.calls - calls <= 9 * 5 * 2
+        assert sim.calls - calls <= 9 * 5 * 2
 
     simulate(scenario, settings=model.SeatSettings())
 
@@ -181,19 +187,19 @@
 def test_planned_stop_returns_all_units() -> None:
     """Units left behind would be out of use until the lease lapses."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        await world.run(10.0)
-        host = world.hosts["eh1"]
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        await sim.run(10.0)
+        host = sim.hosts["eh1"]
         host.demand = 0.0
         # Loans and orphaned requests last longer than the stop waits.
-        for other in world.hosts.values():
+        for other in sim.hosts.values():
             other.demand = 0.0
-        await world.run(40.0)
-        await stop(world, host)
-        assert "eh1" not in stored_units(world)
-        await world.run(10.0)
-        assert sorted(shares(world).values()) == [3, 4]
+        await sim.run(40.0)
+        await stop(sim, host)
+        assert "eh1" not in stored_units(sim)
+        await sim.run(10.0)
+        assert sorted(shares(sim).values()) == [3, 4]
 
     simulate(scenario, settings=model.SeatSettings())
 
@@ -201,22 +207,24 @@
 def test_units_in_use_at_a_stop_return_after_the_longest_hold() -> None:
     """Waiting for the lease would keep them out of use for 900 s more."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        for host in world.hosts.values():
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        for host in sim.hosts.values():
             host.demand = host.orphans = 1.0
-        await world.run(10.0)
-        host = world.hosts["eh1"]
+        await sim.run(10.0)
+        host = sim.hosts["eh1"]
         host.paused = False
-        task = asyncio.get_running_loop().create_task(host.keeper.give_up())
-        await world.run(8.0)
+        task = asyncio.get_running_loop().create_task(
+            host.keeper.release_seats()
+        )
+        await sim.run(8.0)
         assert task.done()
         host.kill()
-        assert stored_units(world)["eh1"] > 0
-        await world.run(30.0)
-        assert "eh1" in stored_units(world)
-        await world.run(12.0)
-        assert "eh1" not in stored_units(world)
+        assert stored_units(sim)["eh1"] > 0
+        await sim.run(30.0)
+        assert "eh1" in stored_units(sim)
+        await sim.run(12.0)
+        assert "eh1" not in stored_units(sim)
 
     simulate(scenario, settings=model.SeatSettings())
 
@@ -224,16 +232,16 @@
 def test_restarted_host_takes_over_its_seat_after_the_longest_hold() -> None:
     """Requests of the old process still run, and its lease is long."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        await world.run(10.0)
-        world.hosts["eh1"].kill()
-        world.start("eh1", ZONES["eh1"])
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        await sim.run(10.0)
+        sim.hosts["eh1"].kill()
+        sim.start("eh1", ZONES["eh1"])
         # 2 s of loan, 30.5 s of requests, 5 s of linger time.
-        await world.run(37.0)
-        assert "eh1" not in shares(world)
-        await world.run(4.0)
-        assert "eh1" in shares(world)
+        await sim.run(37.0)
+        assert "eh1" not in shares(sim)
+        await sim.run(4.0)
+        assert "eh1" in shares(sim)
 
     simulate(scenario, settings=model.SeatSettings())
 
@@ -241,16 +249,16 @@
 def test_same_name_at_another_address_waits_for_the_lease() -> None:
     """A bind at another address does not prove the old process gone."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        await world.run(10.0)
-        world.hosts["eh1"].kill()
-        host = world.start("eh1", ZONES["eh1"])
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        await sim.run(10.0)
+        sim.hosts["eh1"].kill()
+        host = sim.start("eh1", ZONES["eh1"])
         host.keeper.host = host.identity._replace(peer_url="ws://127.0.0.2:1")
-        await world.run(56.0)
-        assert "eh1" not in shares(world)
-        await world.run(10.0)
-        assert "eh1" in shares(world)
+        await sim.run(56.0)
+        assert "eh1" not in shares(sim)
+        await sim.run(10.0)
+        assert "eh1" in shares(sim)
 
     simulate(scenario)
 
@@ -258,14 +266,14 @@
 def test_units_of_a_dead_host_return_after_lease_and_hold() -> None:
     """Earlier its requests may run; never would lose the units."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        await world.run(10.0)
-        world.hosts["eh1"].kill()
-        await world.run(50.0)
-        assert "eh1" in stored_units(world)
-        await world.run(30.0)
-        assert sorted(stored_units(world).values()) == [3, 4]
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        await sim.run(10.0)
+        sim.hosts["eh1"].kill()
+        await sim.run(50.0)
+        assert "eh1" in stored_units(sim)
+        await sim.run(30.0)
+        assert sorted(stored_units(sim).values()) == [3, 4]
 
     simulate(scenario)
 
@@ -273,34 +281,36 @@
 def test_a_long_lease_allows_for_clocks_that_differ() -> None:
     """A holder whose clock is 1 % slow uses its units for 30 s more."""
 
-    async def scenario(world: simulation.World) -> None:
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
         for name in ("eh1", "eh2"):
-            world.start(name, ZONES[name]).demand = 0.0
-        await world.run(10.0)
-        world.hosts["eh1"].kill()
-        await world.run(3055.0)
-        assert "eh1" in stored_units(world)
-        await world.run(60.0)
-        assert "eh1" not in stored_units(world)
-
-    settings = simulation.SETTINGS._replace(lease_s=3000.0, renew_s=6.0)
+            sim.start(name, ZONES[name]).demand = 0.0
+        await sim.run(10.0)
+        sim.hosts["eh1"].kill()
+        await sim.run(3055.0)
+        assert "eh1" in stored_units(sim)
+        await sim.run(60.0)
+        assert "eh1" not in stored_units(sim)
+
+    settings = simulation.SETTINGS._replace(
+        lease_s=3000.0, renew_interval_s=6.0
+    )
     simulate(scenario, settings=settings)
 
 
 def test_paused_holder_dispatches_nothing_after_its_lease() -> None:
     """Others have its units by the time it wakes up."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        for host in world.hosts.values():
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        for host in sim.hosts.values():
             host.demand = 1.0
-        await world.run(10.0)
-        sleeper = world.hosts["eh1"]
+        await sim.run(10.0)
+        sleeper = sim.hosts["eh1"]
         sleeper.paused = True
-        await world.run(80.0)
-        before = world.dispatches
+        await sim.run(80.0)
+        before = sim.dispatches
         sleeper.resume()
-        assert world.dispatches == before
+        assert sim.dispatches == before
 
     simulate(scenario)
 
@@ -308,18 +318,18 @@
 def test_outage_longer_than_the_lease_stops_and_recovers() -> None:
     """Units are usable exactly while the lease lasts."""
 
-    async def scenario(world: simulation.World) -> None:
-        start_all(world)
-        await world.run(10.0)
-        world.store_up = False
-        world.set_view(simulation.make_view(3, 5))
-        await world.run(5.0)
-        assert 0 < sum(shares(world).values()) <= 3
-        await world.run(20.0)
-        assert not shares(world)
-        world.store_up = True
-        await world.run(10.0)
-        assert sum(shares(world).values()) == 3
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        start_all(sim)
+        await sim.run(10.0)
+        sim.store_up = False
+        sim.set_view(simulation.make_view(3, 5))
+        await sim.run(5.0)
+        assert 0 < sum(shares(sim).values()) <= 3
+        await sim.run(20.0)
+        assert not shares(sim)
+        sim.store_up = True
+        await sim.run(10.0)
+        assert sum(shares(sim).values()) == 3
 
     simulate(scenario)
 
@@ -327,15 +337,15 @@
 def test_units_of_a_pending_write_stay_out_of_use() -> None:
     """A write that lowers units may take effect after others were sent."""
 
-    async def scenario(world: simulation.World) -> None:
-        host = world.start("eh1", ZONES["eh1"])
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        host = sim.start("eh1", ZONES["eh1"])
         # Units in use could not be given back.
         host.demand = 0.0
-        await world.run(10.0)
-        assert shares(world) == {"eh1": 7}
-        world.write_delay_s = 4.0
+        await sim.run(10.0)
+        assert shares(sim) == {"eh1": 7}
+        sim.write_delay_s = 4.0
         host.keeper.hosts_of = lambda _: frozenset(("eh1", "eh2"))
-        await world.run(1.5)
+        await sim.run(1.5)
         host.keeper.hosts_of = lambda _: frozenset(("eh1",))
         # Admission uses free units in the step in which it hears of them.
         heard: list[int] = []
@@ -343,14 +353,14 @@
             lambda: heard.append(host.ledger.usable(REGION))
         )
         for _ in range(8):
-            await world.run(0.25)
-            assert stored_units(world) == {"eh1": 7}
-            assert shares(world)["eh1"] in (3, 4)
+            await sim.run(0.25)
+            assert stored_units(sim) == {"eh1": 7}
+            assert shares(sim)["eh1"] in (3, 4)
         assert heard
         assert max(heard) <= 4
-        world.write_delay_s = 0.0
-        await world.run(20.0)
-        assert shares(world) == {"eh1": 7}
+        sim.write_delay_s = 0.0
+        await sim.run(20.0)
+        assert shares(sim) == {"eh1": 7}
 
     simulate(scenario)
 
@@ -358,11 +368,11 @@
 def test_stale_read_of_a_table_changes_nothing() -> None:
     """An old table holds units that were given back, and no valid seat."""
 
-    async def scenario(world: simulation.World) -> None:
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
         core = store_standin.StoreCore()
 
         def start(name: str) -> simulation.Host:
-            host = world.start(name, ZONES[name])
+            host = sim.start(name, ZONES[name])
             host.demand = 0.0
             host.keeper.store = store_standin.FakeObjectStore(
                 core=core, timer=host.timer
@@ -370,11 +380,11 @@
             return host
 
         first = start("eh1")
-        await world.run(10.0)
-        assert shares(world) == {"eh1": 7}
+        await sim.run(10.0)
+        assert shares(sim) == {"eh1": 7}
         start("eh2")
-        await world.run(10.0)
-        before = shares(world)
+        await sim.run(10.0)
+        before = shares(sim)
         assert sorted(before.values()) == [3, 4]
         heard: list[int] = []
         first.ledger.on_free.append(
@@ -383,16 +393,16 @@
         for stale_by in (1, 3, 6, core.revision):
             core.faults.stale_by = stale_by
             gets = core.calls["get"]
-            for host in world.hosts.values():
+            for host in sim.hosts.values():
                 for state in host.keeper.groups.values():
                     state.next_look_s = 0.0
-            await world.run(1.5)
+            await sim.run(1.5)
             assert core.calls["get"] > gets
-            assert shares(world) == before
+            assert shares(sim) == before
             assert set(heard) <= {before["eh1"]}
         core.faults.stale_by = 0
-        await world.run(30.0)
-        assert shares(world) == before
+        await sim.run(30.0)
+        assert shares(sim) == before
 
     simulate(scenario)
 
@@ -400,12 +410,12 @@
 def test_region_without_entry_hosts_is_used_by_the_nearest() -> None:
     """Its backend servers would be unreachable otherwise."""
 
-    async def scenario(world: simulation.World) -> None:
-        world.start("eh1", ZONES["eh1"])
-        await world.run(5.0)
-        assert shares(world, "region:tartu") == {"eh1": 7}
-        world.start("eh4", ZONES["eh4"])
-        await world.run(60.0)
-        assert shares(world, "region:tartu") == {"eh4": 7}
+    async def scenario(sim: simulation.QuotaSimulation) -> None:
+        sim.start("eh1", ZONES["eh1"])
+        await sim.run(5.0)
+        assert shares(sim, "region:tartu") == {"eh1": 7}
+        sim.start("eh4", ZONES["eh4"])
+        await sim.run(60.0)
+        assert shares(sim, "region:tartu") == {"eh4": 7}
 
     simulate(scenario)
--- a/tests/components/quota/test_seats.py
+++ b/tests/components/quota/test_seats.py
@@ -32,9 +32,9 @@
         incarnation=host,
         address=host,
         renewal=1,
-        fair=seats.fair_share(limits=limits, host=host, hosts=hosts),
+        fair_shares=seats.fair_share(limits=limits, host=host, hosts=hosts),
         limits=limits,
-        floors={"k": floor},
+        units_in_use={"k": floor},
         expired=frozenset(),
         leaving=leaving,
     ).table
@@ -130,7 +130,7 @@
     def large(units: int, share: int) -> bool:
         seat = model.Seat("a", "a", "a", 1, {"k": units}, {"k": 100})
         return seats.weigh(
-            seat, fair={"k": share}, limits={"k": 100}
+            seat, fair_shares={"k": share}, limits={"k": 100}
         ).large_excess
 
     assert large(1, 0)
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -139,9 +139,9 @@
 
 # Promise, owner and name of the guard, what replaces it, the run's faults.
 GUARDS: tuple[tuple[str, Any, str, Any, world_module.Inject], ...] = (
-    ("P1", ledger.KeyState, "linger_s", 0.0, empty_region),
+    ("P1", ledger.KeyState, "release_delay_s", 0.0, empty_region),
     # Each host uses the whole limit.
-    ("P2", ledger.SeatState, "allotted", lambda *args: args[2], burst),
+    ("P2", ledger.SeatState, "allocated", lambda *args: args[2], burst),
     ("P2", executor.Executor, "_finish", finish, trouble),
     ("P3", tokens.TokenIssuer, "read", read_by_work, calm),
     ("P4", FailureKind, "certainly_not_run", True, trouble),
