--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -454,7 +454,7 @@
             ).heartbeat(1.0)
             for n in range(size)
         ]
-        mesh.beats = hosts[1:]
+        mesh.heartbeats = hosts[1:]
         planner = lookup.LookupPlanner(
             catalogue=harness.Catalogue(builders.make_view()),
             mesh=mesh,
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -85,7 +85,7 @@
         *,
         catalogue: steering_planner.CatalogueSource,
         ledger: quota_ledger.QuotaLedger,
-        borrower: ports.Loans,
+        borrower: ports.UnitBorrower,
         planner: steering_planner.SteeringPlanner,
         timer: timer_helper.TimerService,
         metrics: registry.Metrics,
@@ -921,7 +921,7 @@
         for region, block in flow.blocks.items():
             if block.code is Code.NO_BACKEND_SERVER:
                 continue
-            self.borrower.want(
+            self.borrower.request_bundles(
                 work=flow.key.work,
                 region=region,
                 home_region=flow.key.home_region,
@@ -931,7 +931,7 @@
             if block.code is Code.LINK_LIMIT and (
                 block.needed > self.ledger.usable(block.key)
             ):
-                self.borrower.want_units(key=block.key, needed=block.needed)
+                self.borrower.request_units(key=block.key, needed=block.needed)
 
     def _start_tick(self) -> None:
         if self._tick is None:
@@ -1054,7 +1054,7 @@
             return bundle
         for key, amount in bundle.units:
             if key.startswith("link:") and self.ledger.usable(key) < amount:
-                self.borrower.want_units(key=key, needed=amount)
+                self.borrower.request_units(key=key, needed=amount)
         return None
 
     def _loan_id(self, borrower: str) -> str:
--- a/src/samphirelug/components/admission/ports.py
+++ b/src/samphirelug/components/admission/ports.py
@@ -6,12 +6,12 @@
 from samphirelug.components.admission import model
 
 
-class Loans(Protocol):
+class UnitBorrower(Protocol):
     """Borrow bundles from peers; Borrower does."""
 
     on_free: list[Callable[[], None]]
 
-    def want(
+    def request_bundles(
         self,
         *,
         work: str,
@@ -22,7 +22,7 @@
     ) -> None:
         """Ask a peer for bundles unless a request is running."""
 
-    def want_units(self, *, key: str, needed: int) -> None:
+    def request_units(self, *, key: str, needed: int) -> None:
         """Ask peers for plain units until this many are free."""
 
     def take(
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -117,7 +117,7 @@
                 units[unit.key] = units.get(unit.key, 0) + unit.amount
         return units
 
-    def want(
+    def request_bundles(
         self,
         *,
         work: str,
@@ -190,7 +190,7 @@
         else:
             self._give_back(borrowed)
 
-    def want_units(self, *, key: str, needed: int) -> None:
+    def request_units(self, *, key: str, needed: int) -> None:
         """Ask peers for bytes of a link until this many are free here."""
         now = self.timer.monotonic()
         self._unit_wanted[key] = now
--- a/src/samphirelug/components/steering/health.py
+++ b/src/samphirelug/components/steering/health.py
@@ -188,7 +188,7 @@
                 self._clear(server, state, "", revision)
             state.list_leaving = False
 
-    def set_known(self, servers: Iterable[str]) -> None:
+    def set_known_servers(self, servers: Iterable[str]) -> None:
         """Take the servers of the catalogue; later ones ramp up."""
         now = self.timer.monotonic()
         names = frozenset(servers)
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -488,7 +488,7 @@
     def _on_catalogue(self) -> None:
         view = self.catalogue.view
         self.ledger.set_limits(limits.quota_limits(view))
-        self.health.set_known(view.servers)
+        self.health.set_known_servers(view.servers)
         self.host_list.publish()
         self.mesh.heartbeat_now()
         LOGGER.info("catalogue position %d in force", self.catalogue.position)
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -33,7 +33,7 @@
 NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
-class FakeLoans(ports.Loans):
+class FakeLoans(ports.UnitBorrower):
     """Hold bundles that a test lends, and record what is wanted."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self.permits: list[model.Permit] = []
         self.ended: list[model.Permit] = []
 
-    def want(
+    def request_bundles(
         self,
         *,
         work: str,
@@ -55,7 +55,7 @@
         """Record the wish."""
         self.wanted.append((work, region, count))
 
-    def want_units(self, *, key: str, needed: int) -> None:
+    def request_units(self, *, key: str, needed: int) -> None:
         """Record the wish."""
         self.wanted_units[key] = needed
 
@@ -125,7 +125,7 @@
             self.seat(group)
         self.health = steering_health.ServerHealth(timer=self.timer)
         self.loans = FakeLoans()
-        borrower: ports.Loans = self.loans
+        borrower: ports.UnitBorrower = self.loans
         if mesh is not None:
             borrower = loans.Borrower(
                 ledger=self.ledger,
--- a/standins/simulation/quota.py
+++ b/standins/simulation/quota.py
@@ -301,7 +301,7 @@
                 work="status", region=region, home_region=home, body_bytes=20
             )
             if permit is None:
-                self.borrower.want(
+                self.borrower.request_bundles(
                     work="status",
                     region=region,
                     home_region=home,
@@ -323,7 +323,7 @@
         if isinstance(hold, Success):
             self.dispatch(bundle, hold.unwrap(), None)
         else:
-            self.borrower.want_units(key=key, needed=amount)
+            self.borrower.request_units(key=key, needed=amount)
 
     def bundle(
         self, server: core.BackendServer, host_region: str, home: str
@@ -392,7 +392,7 @@
             elif not lent:
                 for key, amount in bundle.units:
                     if key.startswith("link:"):
-                        self.borrower.want_units(key=key, needed=amount)
+                        self.borrower.request_units(key=key, needed=amount)
         return peer_model.Grant(loan_id, tuple(lent), duration_s)
 
     async def grant_units(
--- a/standins/simulation/steering.py
+++ b/standins/simulation/steering.py
@@ -15,12 +15,14 @@
 
     def __init__(self, *, timer: timer_helper.TimerService) -> None:
         self.timer = timer
-        self.beats: list[model.Heartbeat] = []
+        self.heartbeats: list[model.Heartbeat] = []
 
     def live_peers(self) -> tuple[model.PeerView, ...]:
         """Return all peers as heard now."""
         now = self.timer.monotonic()
-        return tuple(model.PeerView(beat, now, True) for beat in self.beats)
+        return tuple(
+            model.PeerView(beat, now, True) for beat in self.heartbeats
+        )
 
     async def request(
         self,
--- a/tests/components/peers/test_topology.py
+++ b/tests/components/peers/test_topology.py
@@ -86,7 +86,7 @@
     chosen = topology.watchers_of("tallinn-a", [host.name for host in hosts])
     timer = timer_helper.ManualTimerService()
     mesh = fakes.FakeMesh(timer=timer)
-    mesh.beats = [
+    mesh.heartbeats = [
         test_io_mesh.make_heartbeat(host)
         for host in hosts
         if host.name in chosen
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -80,7 +80,7 @@
             host=host.identity,
         )
         for _ in range(2):
-            borrower.want(
+            borrower.request_bundles(
                 work="status",
                 region="tallinn",
                 home_region="tallinn",
--- a/tests/components/steering/test_lookup.py
+++ b/tests/components/steering/test_lookup.py
@@ -31,7 +31,7 @@
     def __init__(self, *peers: peers_model.Heartbeat) -> None:
         self.timer = timer_helper.ManualTimerService(start_s=100.0)
         self.mesh = fakes.FakeMesh(timer=self.timer)
-        self.mesh.beats = list(peers)
+        self.mesh.heartbeats = list(peers)
         self.issuer = fakes.FakeIssuer()
         self.own = beat("eh1", "tallinn-a")
         self.planner = lookup.LookupPlanner(
@@ -91,7 +91,7 @@
     rig.timer.advance(0.2)
     assert "eh2" in rig.names("case-status", "tartu-a")
     assert len(made) == 1
-    rig.mesh.beats = []
+    rig.mesh.heartbeats = []
     rig.timer.advance(0.1)
     assert rig.names("case-status", "tartu-a") == ["eh1"]
 
