--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -373,8 +373,8 @@
         first.append(cost_ms(partial(topology.make_plan, own, nodes)))
         for host in hosts[1:51]:
             beat = fleet.SimulatedHost(host=host).heartbeat(1.0)
-            known.heard(beat, now=1.0)
-        again.append(cost_ms(partial(known.missing, now=1.0), loops=20))
+            known.record_heartbeat(beat, now=1.0)
+        again.append(cost_ms(partial(known.unavailable, now=1.0), loops=20))
         listed.append(cost_ms(partial(known.set_listed, hosts, now=1.0)))
     for title, values, unit in (
         ("candidates", candidates, "ms"),
--- a/benchmarks/capacity_faults.py
+++ b/benchmarks/capacity_faults.py
@@ -16,7 +16,7 @@
 
 def worst_bytes(made: fleet.Fleet, seconds: float) -> float:
     """Return the relayed bytes a second of the host with the most."""
-    made.reset()
+    made.reset_counters()
     run(made, seconds)
     return max(
         (host.sent_bytes + host.received_bytes) / seconds
@@ -27,9 +27,9 @@
 def sighting_s(made: fleet.Fleet, server: str) -> float:
     """Return after how long a sighting reached every host; inf if never."""
     start = made.now
-    made.see(next(iter(made.hosts)), model.Sighting(server, "", True, 0))
+    made.observe(next(iter(made.hosts)), model.Sighting(server, "", True, 0))
     run(made, 3.0)
-    got = [host.got.get(server) for host in made.hosts.values()]
+    got = [host.received_at.get(server) for host in made.hosts.values()]
     if None in got:
         return float("inf")
     return max(when - start for when in got if when is not None)
@@ -49,7 +49,7 @@
         item for item in made.in_flight if item[1].peer not in lost
     ]
     del made.zones[list(made.zones)[-1]]
-    made.reconnect()
+    made.update_relay_peers()
     return (sighting_s(made, "after-loss"),)
 
 
@@ -73,13 +73,13 @@
             == side[host.host.zone.region]
         }
     made.in_flight = []
-    made.reconnect()
+    made.update_relay_peers()
     for host in made.hosts.values():
         host.position = 5
     during = worst_bytes(made, SETTLE_S)
     for name, host in made.hosts.items():
         host.peers = whole[name]
-    made.reconnect()
+    made.update_relay_peers()
     return during, worst_bytes(made, SETTLE_S), sighting_s(made, "after-cut")
 
 
@@ -97,7 +97,7 @@
     members[members.index(old)] = fresh
     for peer in fresh.peers:
         made.hosts[peer].relay.outboxes.pop(name)
-    made.reconnect()
+    made.update_relay_peers()
     start = made.now
     while len(fresh.relay.zones) < zones and made.now < start + 60.0:
         run(made, const.RELAY_TICK_S)
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -413,7 +413,10 @@
     def _plan(self, now: float) -> topology.Plan:
         plan = self._planned
         if plan is None or now - self._planned_at_s >= const.PLAN_INTERVAL_S:
-            members = self.membership.version, self.membership.missing(now=now)
+            members = (
+                self.membership.version,
+                self.membership.unavailable(now=now),
+            )
             if plan is None or members != self._planned_for:
                 plan = topology.make_plan(
                     topology.Node(self.host.name, self.host.zone),
@@ -736,7 +739,7 @@
                     _Code.PEER_MESSAGE_INVALID, "heartbeat of another host"
                 )
             last = self.membership.members[name].heartbeat
-            if not self.membership.heard(message, now=now):
+            if not self.membership.record_heartbeat(message, now=now):
                 return None
             if last is None or last.state is not message.state:
                 self._forget_views()
--- a/src/samphirelug/components/peers/membership.py
+++ b/src/samphirelug/components/peers/membership.py
@@ -115,7 +115,9 @@
         member.unreachable_until_s = 0.0
         return True
 
-    def heard(self, heartbeat: model.Heartbeat, *, now: float) -> bool:
+    def record_heartbeat(
+        self, heartbeat: model.Heartbeat, *, now: float
+    ) -> bool:
         """Note a direct heartbeat; False if it is old or not accepted."""
         member = self.members.get(heartbeat.host.name)
         if member is None or (
@@ -178,14 +180,14 @@
 
     def candidates(self, *, now: float) -> tuple[topology.Node, ...]:
         """Return the hosts that may be alive, for the topology."""
-        missing = self.missing(now=now)
+        unavailable = self.unavailable(now=now)
         return tuple(
             topology.Node(name, member.host.zone)
             for name, member in self.members.items()
-            if name not in missing
+            if name not in unavailable
         )
 
-    def missing(self, *, now: float) -> frozenset[str]:
+    def unavailable(self, *, now: float) -> frozenset[str]:
         """Return the hosts that are silent or leaving.
 
         The candidates change only with these and with the version.
--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -40,7 +40,7 @@
         self.sent = self.received = 0
         self.sent_bytes = self.received_bytes = 0
         # When this host first got each sighting, by server.
-        self.got: dict[str, float] = {}
+        self.received_at: dict[str, float] = {}
 
     def heartbeat(self, now: float) -> model.Heartbeat:
         """Return the host's heartbeat."""
@@ -100,9 +100,9 @@
                 simulated.peers.add(name)
                 self.hosts[name].peers.add(node.name)
         if not self.full:
-            self.reconnect()
+            self.update_relay_peers()
 
-    def reconnect(self) -> None:
+    def update_relay_peers(self) -> None:
         """Give each relay its peers."""
         for simulated in self.hosts.values():
             peers = [self.hosts[name] for name in simulated.peers]
@@ -116,9 +116,9 @@
     def deliver(self, name: str, sightings: Iterable[model.Sighting]) -> None:
         """Note sightings that reached a host."""
         for sighting in sightings:
-            self.hosts[name].got.setdefault(sighting.server, self.now)
+            self.hosts[name].received_at.setdefault(sighting.server, self.now)
 
-    def see(self, name: str, sighting: model.Sighting) -> None:
+    def observe(self, name: str, sighting: model.Sighting) -> None:
         """Let a host observe a server itself."""
         self.deliver(name, [sighting])
         self.hosts[name].relay.originate(sighting, now=self.now)
@@ -179,7 +179,7 @@
             for box in simulated.relay.outboxes.values():
                 box.summaries.clear()
 
-    def reset(self) -> None:
+    def reset_counters(self) -> None:
         """Set the counts of traffic to zero."""
         for simulated in self.hosts.values():
             simulated.sent = simulated.received = 0
@@ -217,7 +217,7 @@
         fleet.warm_up()
     while fleet.now < 2.0:
         fleet.step()
-    fleet.reset()
+    fleet.reset_counters()
     # 20,000 changes a day, and sightings for 450 hosts a day that leave and
     # return; the zones get a change 0.5 to 1.5 s apart.
     change_s = 86_400 / 20_000
@@ -248,7 +248,7 @@
             name = rng.choice(list(fleet.hosts))
             server = f"server-{servers:04}"
             seen_at[server] = fleet.now
-            fleet.see(name, model.Sighting(server, "inc", True, 0))
+            fleet.observe(name, model.Sighting(server, "inc", True, 0))
         fleet.step()
         for name, simulated in fleet.hosts.items():
             lowest = simulated.relay.lowest()
@@ -314,10 +314,10 @@
 ) -> None:
     """Print how long sightings and positions took to reach all hosts."""
     delays = [
-        simulated.got[server] - when
+        simulated.received_at[server] - when
         for server, when in seen_at.items()
         for simulated in fleet.hosts.values()
-        if server in simulated.got
+        if server in simulated.received_at
     ]
     reached = len(delays)
     print(
--- a/tests/components/peers/test_membership.py
+++ b/tests/components/peers/test_membership.py
@@ -24,7 +24,7 @@
     assert set(known.members) == {"eh2"}
     assert known.state_of("eh2", now=0.0) is model.MemberState.LISTED
     assert not known.live(now=0.0)
-    assert known.heard(BEAT, now=1.0)
+    assert known.record_heartbeat(BEAT, now=1.0)
     assert known.state_of("eh2", now=3.0) is model.MemberState.LIVE
     assert known.state_of("eh2", now=3.1) is model.MemberState.SILENT
     assert not known.live(now=3.1)
@@ -35,7 +35,7 @@
     known.unreachable("eh2", now=late_s)
     assert known.state_of("eh2", now=late_s) is model.MemberState.SILENT
     leaving = BEAT._replace(state=core.EntryHostState.LEAVING, clock_ms=9)
-    assert known.heard(leaving, now=late_s)
+    assert known.record_heartbeat(leaving, now=late_s)
     assert known.state_of("eh2", now=late_s) is model.MemberState.LEAVING
     assert not known.zone_members(now=late_s)
 
@@ -43,20 +43,20 @@
 def test_a_reordered_heartbeat_is_ignored() -> None:
     """Guards against a position or state that moves back."""
     known = membership.Membership(own=OWN)
-    assert known.heard(BEAT._replace(clock_ms=5), now=1.0)
-    assert not known.heard(BEAT._replace(clock_ms=4), now=9.0)
+    assert known.record_heartbeat(BEAT._replace(clock_ms=5), now=1.0)
+    assert not known.record_heartbeat(BEAT._replace(clock_ms=4), now=9.0)
     assert not known.live(now=9.0)
 
 
 def test_a_restarted_clock_is_accepted_with_its_incarnation() -> None:
     """Guards against ignoring a restarted host, whose clock is lower."""
     known = membership.Membership(own=OWN)
-    known.heard(BEAT._replace(clock_ms=5000), now=1.0)
+    known.record_heartbeat(BEAT._replace(clock_ms=5000), now=1.0)
     assert known.joined(LATER, now=2.0)
     assert not known.live(now=2.0)
-    assert known.heard(BEAT._replace(host=LATER), now=2.0)
+    assert known.record_heartbeat(BEAT._replace(host=LATER), now=2.0)
     assert not known.joined(PEER, now=3.0)
-    assert not known.heard(BEAT._replace(clock_ms=9000), now=3.0)
+    assert not known.record_heartbeat(BEAT._replace(clock_ms=9000), now=3.0)
 
 
 def test_hearsay_does_not_choose_an_incarnation() -> None:
@@ -64,7 +64,7 @@
     known = membership.Membership(own=OWN)
     known.add(LATER, now=0.0)
     assert known.joined(PEER, now=1.0)
-    known.heard(BEAT, now=1.0)
+    known.record_heartbeat(BEAT, now=1.0)
     known.add(LATER, now=2.0)
     assert known.members["eh2"].host == PEER
     assert known.joined(LATER, now=3.0)
@@ -75,7 +75,7 @@
     known = membership.Membership(own=OWN)
     former = OWN._replace(incarnation="eh1-0")
     assert not known.joined(former, now=0.0)
-    assert not known.heard(BEAT._replace(host=former), now=0.0)
+    assert not known.record_heartbeat(BEAT._replace(host=former), now=0.0)
     known.set_listed([former], now=0.0)
     assert not known.members
 
@@ -85,7 +85,7 @@
     known = membership.Membership(own=OWN)
     other = builders.make_host("eh3")
     known.set_listed([other], now=0.0)
-    known.heard(BEAT, now=0.0)
+    known.record_heartbeat(BEAT, now=0.0)
     # What peers remember must not keep a dead host known for ever.
     known.add(PEER, now=const.FORGET_AFTER_S)
     assert known.forget(now=const.FORGET_AFTER_S) == ()
@@ -117,7 +117,9 @@
         if kind == "joined":
             known.joined(host, now=now)
         elif kind == "heard":
-            known.heard(BEAT._replace(host=host, clock_ms=clock_ms), now=now)
+            known.record_heartbeat(
+                BEAT._replace(host=host, clock_ms=clock_ms), now=now
+            )
         elif kind == "add":
             known.add(host, now=now)
         else:
@@ -156,7 +158,7 @@
         host = builders.make_host(name, zone=zone)
         beat = BEAT._replace(host=host, clock_ms=int(now * 1000))
         if kind == "heard":
-            known.heard(beat, now=now)
+            known.record_heartbeat(beat, now=now)
         elif kind == "add":
             known.add(host, now=now)
         elif kind == "joined":
@@ -166,7 +168,7 @@
         else:
             known.forget(now=now)
         found = sorted(known.candidates(now=now))
-        key = known.version, known.missing(now=now)
+        key = known.version, known.unavailable(now=now)
         assert seen.setdefault(key, found) == found
         assert [node.name for node in found] == [
             name
--- a/tests/components/peers/test_relay.py
+++ b/tests/components/peers/test_relay.py
@@ -66,13 +66,13 @@
         name = rng.choice(list(small.hosts))
         sighting = SIGHTING._replace(server=f"s{number}")
         seen[sighting.server] = small.now
-        small.see(name, sighting)
+        small.observe(name, sighting)
     settle(small, 3.0, rng if disorder else None)
     for simulated in small.hosts.values():
-        assert simulated.got.keys() == seen.keys()
-        for server, when in simulated.got.items():
+        assert simulated.received_at.keys() == seen.keys()
+        for server, when in simulated.received_at.items():
             assert when - seen[server] <= 3.0
-    small.reset()
+    small.reset_counters()
     settle(small, 2.0, rng if disorder else None)
     assert sum(simulated.sent for simulated in small.hosts.values()) == 0
 
@@ -115,7 +115,7 @@
     old = next(host for host in zone if host.first_watcher)
     new = next(host for host in zone if host.watcher and host is not old)
     old.first_watcher, new.first_watcher = old_stays, True
-    small.reconnect()
+    small.update_relay_peers()
     for position in (5, 6):
         for simulated in small.hosts.values():
             simulated.position = position
