--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -62,7 +62,7 @@
         admission: model.Admission,
         backend: backend_client.BackendClient,
         health: ports.Health,
-        outcomes: outcomes_module.OutcomeBook,
+        outcomes: outcomes_module.OutcomeTable,
         issuer: tokens.TokenIssuer,
         mesh: mesh_module.PeerMesh,
         timer: timer_module.TimerService,
@@ -107,14 +107,16 @@
             return _refuse(
                 ResultCode.TOKEN_MISSING, "the work needs a run token"
             )
-        return await self._attempt(request, work, repeatable=True, run=Run())
+        return await self._run_with_retries(
+            request, work, repeatable=True, run=Run()
+        )
 
     def is_unused(self, token: str) -> bool:
         """Return whether a refusal may say that the token was not run.
 
         False also where this host cannot know.
         """
-        read = self.issuer.read(token)
+        read = self.issuer.decode(token)
         if isinstance(read, Failure):
             return True
         content = read.unwrap()
@@ -128,7 +130,7 @@
         A token that has not started is revoked, so that "not run" stays
         true.
         """
-        read = self.issuer.read(token)
+        read = self.issuer.decode(token)
         if isinstance(read, Failure):
             return Failure(read.failure())
         content = read.unwrap()
@@ -172,7 +174,7 @@
     ) -> peer_model.Message | None:
         """Answer another host's question about a run token."""
         assert isinstance(message, peer_model.OutcomeQuery)
-        read = self.issuer.read(message.token)
+        read = self.issuer.decode(message.token)
         if isinstance(read, Failure):
             return None
         return peer_model.OutcomeReply(self.outcomes.revoke(read.unwrap()))
@@ -208,7 +210,7 @@
     async def _run_once(
         self, request: core.CallerRequest, token: str
     ) -> model.Outcome:
-        read = self.issuer.read(token)
+        read = self.issuer.decode(token)
         if isinstance(read, Failure):
             return Failure(read.failure())
         content = read.unwrap()
@@ -245,7 +247,7 @@
         if isinstance(found, Failure):
             return Failure(found.failure())
         try:
-            return await self._attempt(
+            return await self._run_with_retries(
                 request, found.unwrap(), repeatable=False, run=run
             )
         except Exception:
@@ -289,7 +291,7 @@
             const.RUNNING_RETRY_AFTER_S,
         )
 
-    async def _attempt(
+    async def _run_with_retries(
         self,
         request: core.CallerRequest,
         work: catalogue_model.WorkEntry,
--- a/src/samphirelug/components/execution/outcomes.py
+++ b/src/samphirelug/components/execution/outcomes.py
@@ -41,7 +41,7 @@
     forget_at_s: float
 
 
-class OutcomeBook:
+class OutcomeTable:
     """Let each run token start once and answer what became of it."""
 
     def __init__(
--- a/src/samphirelug/components/execution/tokens.py
+++ b/src/samphirelug/components/execution/tokens.py
@@ -58,7 +58,7 @@
         )
         return self.signer.sign(tuple(token))
 
-    def read(self, token: str) -> Result[RunToken, result_codes.Refusal]:
+    def decode(self, token: str) -> Result[RunToken, result_codes.Refusal]:
         """Return a token's content; fails with TOKEN_INVALID."""
         verified = self.signer.verify(token)
         if isinstance(verified, Failure):
--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -231,7 +231,7 @@
 
     def _home_region(self, headers: model.RunHeaders) -> str:
         if headers.run_token is not None:
-            token = self.issuer.read(headers.run_token)
+            token = self.issuer.decode(headers.run_token)
             if isinstance(token, Success):
                 home: str = token.unwrap().home_region
                 return home
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -202,7 +202,7 @@
             metrics=self.metrics,
         )
         self.backend = io_client.HttpBackendClient(timer=self.timer)
-        self.outcomes = outcomes.OutcomeBook(
+        self.outcomes = outcomes.OutcomeTable(
             host=self.host, timer=self.timer, started_at_s=self.started_at_s
         )
         self.executor = executor.Executor(
--- a/tests/components/execution/test_executor.py
+++ b/tests/components/execution/test_executor.py
@@ -291,7 +291,9 @@
     assert await at_other_host(world, token) is ResultCode.ENTRY_HOST_LOST
     mark = peer_model.OutcomeHandover("eh9-1", (), True, 9000)
     unused = world.token()
-    content = world.issuer.read(unused).unwrap()._replace(incarnation="eh9-1")
+    content = (
+        world.issuer.decode(unused).unwrap()._replace(incarnation="eh9-1")
+    )
     book = world.hosts["eh2"].book
     for handover, code_then in (
         (mark, ResultCode.ENTRY_HOST_LOST),
--- a/tests/components/execution/test_outcomes.py
+++ b/tests/components/execution/test_outcomes.py
@@ -27,9 +27,9 @@
         self.clock = timer.ManualTimerService()
         self.book = self.make(HOST)
 
-    def make(self, host: core.EntryHost) -> outcomes.OutcomeBook:
+    def make(self, host: core.EntryHost) -> outcomes.OutcomeTable:
         """Return a book for four tokens and 2000 bytes."""
-        return outcomes.OutcomeBook(
+        return outcomes.OutcomeTable(
             host=host,
             timer=self.clock,
             started_at_s=0.0,
--- a/tests/components/execution/test_tokens.py
+++ b/tests/components/execution/test_tokens.py
@@ -18,7 +18,7 @@
         )
         for _ in range(2)
     ]
-    first, second = (issuer.read(text).unwrap() for text in texts)
+    first, second = (issuer.decode(text).unwrap() for text in texts)
     assert first.token_id != second.token_id
     assert first._replace(token_id="") == tokens.RunToken(
         "", "file-claim", host.name, host.incarnation, "tartu", 125_000
@@ -29,6 +29,6 @@
     """Guard against a signed value of another shape."""
     issuer = tokens.TokenIssuer(secret="s", timer=timer.ManualTimerService())
     for value in ([], ["a"] * 6, {"token_id": "a"}, "a", None):
-        read = issuer.read(issuer.signer.sign(value))
+        read = issuer.decode(issuer.signer.sign(value))
         assert isinstance(read, Failure)
         assert read.failure().code is ResultCode.TOKEN_INVALID
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -276,7 +276,7 @@
         self.mesh = Mesh(world, name)
         self.admission = Admission()
         self.health = Health()
-        self.book = outcomes.OutcomeBook(
+        self.book = outcomes.OutcomeTable(
             host=self.identity,
             timer=world.clock,
             started_at_s=world.now(),
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -24,7 +24,7 @@
 
 # Long enough for a server or a host that leaves.
 GUARD_RUN_S = 10.0
-READ = tokens.TokenIssuer.read
+DECODE = tokens.TokenIssuer.decode
 
 
 def broken(world: World) -> dict[str, list[str]]:
@@ -114,13 +114,15 @@
     """Run the work of a token on any host at any time."""
     work = self.catalogue.view.works[request.work]
     run = executor.Run()
-    return await self._attempt(request, work, repeatable=False, run=run)
+    return await self._run_with_retries(
+        request, work, repeatable=False, run=run
+    )
 
 
-def read_by_work(self: Any, token: str) -> Any:
+def decode_by_work(self: Any, token: str) -> Any:
     """Take all tokens for one work entry for the same token."""
-    read = READ(self, token)
-    return read.map(lambda each: each._replace(token_id=each.work))
+    decoded = DECODE(self, token)
+    return decoded.map(lambda each: each._replace(token_id=each.work))
 
 
 def merge(self: Any, objects: Any, revision: int) -> bool:
@@ -143,7 +145,7 @@
     # Each host uses the whole limit.
     ("P2", ledger.SeatState, "allotted", lambda *args: args[2], burst),
     ("P2", executor.Executor, "_finish", finish, trouble),
-    ("P3", tokens.TokenIssuer, "read", read_by_work, calm),
+    ("P3", tokens.TokenIssuer, "decode", decode_by_work, calm),
     ("P4", FailureKind, "certainly_not_run", True, trouble),
     ("P5", executor.Executor, "_run_once", run_anywhere, trouble),
     ("P6", health.ServerHealth, "_mark_leaving", ignore, drains),
