--- a/src/samphirelug/components/directory/answer.py
+++ b/src/samphirelug/components/directory/answer.py
@@ -31,7 +31,7 @@
     return min(cores / REQUEST_CPU_S, link_mbps * 1e6 / 8 / REQUEST_BYTES)
 
 
-def choose(
+def choose_addresses(
     hosts: Sequence[model.HostInstance], *, region: str, zone: str
 ) -> list[str]:
     """Return caller addresses, those of the nearest hosts only.
--- a/src/samphirelug/components/forwarding/forwarder.py
+++ b/src/samphirelug/components/forwarding/forwarder.py
@@ -70,7 +70,7 @@
         self.host_count = host_count
         self.split = split.WeightedSplit()
 
-    def route_of(
+    def find_route(
         self, *, hostname: str, target: str
     ) -> routing_model.Route | None:
         """Return the route in force for a request."""
@@ -119,13 +119,13 @@
         ]
         trace.service = service.name
         self.retries.count_first(service.name, now=self.timer.monotonic())
-        answer_by_s = request.received_at_s + min(
+        deadline_at_s = request.received_at_s + min(
             route.timeout_s, const.MAX_REQUEST_S
         )
         if request.deadline_at_s is not None:
-            answer_by_s = min(answer_by_s, request.deadline_at_s)
+            deadline_at_s = min(deadline_at_s, request.deadline_at_s)
         return await self._attempts(
-            request, route, service, object_key, answer_by_s, trace
+            request, route, service, object_key, deadline_at_s, trace
         )
 
     async def _attempts(
@@ -134,7 +134,7 @@
         route: routing_model.Route,
         service: routing_model.Service,
         object_key: str,
-        answer_by_s: float,
+        deadline_at_s: float,
         trace: request_log.RequestTrace,
     ) -> RequestResult:
         tried: set[str] = set()
@@ -142,7 +142,7 @@
         progress = _Progress()
         while True:
             now = self.timer.monotonic()
-            if answer_by_s - now < const.MIN_ATTEMPT_TIME_S:
+            if deadline_at_s - now < const.MIN_ATTEMPT_TIME_S:
                 refusal = result_codes.Refusal(
                     result_codes.ResultCode.DEADLINE_EXPIRED,
                     "no time is left for an attempt",
@@ -171,7 +171,7 @@
             sent += 1
             outcome = await self._attempt(
                 model.Attempt(
-                    request, candidate.server, answer_by_s, route.idempotent
+                    request, candidate.server, deadline_at_s, route.idempotent
                 ),
                 candidate,
                 service,
--- a/src/samphirelug/components/forwarding/model.py
+++ b/src/samphirelug/components/forwarding/model.py
@@ -40,7 +40,7 @@
     request: ReceivedRequest
     server: fleet_model.ServerInstance
     # The server stops work at this time.
-    answer_by_s: float
+    deadline_at_s: float
     idempotent: bool
 
 
--- a/src/samphirelug/components/http/handler.py
+++ b/src/samphirelug/components/http/handler.py
@@ -33,7 +33,7 @@
 
     def may_overlap(self, message: request_parser.CallerMessage) -> bool:
         """Tell whether the request may run more than once."""
-        route = self.forwarder.route_of(
+        route = self.forwarder.find_route(
             hostname=_hostname(message), target=message.target
         )
         return route is not None and route.idempotent
--- a/src/samphirelug/components/http/io_pool.py
+++ b/src/samphirelug/components/http/io_pool.py
@@ -86,7 +86,7 @@
     ) -> Result[io_connection.ServerConnection, backend_model.BackendFailure]:
         detail = "no connection in time"
         for _ in range(const.CONNECT_TRIES):
-            left_s = attempt.answer_by_s - self.timer.monotonic()
+            left_s = attempt.deadline_at_s - self.timer.monotonic()
             if left_s <= 0:
                 break
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -145,7 +145,7 @@
     ) -> model.AttemptResult:
         # The process may have been paused before. There is no await between
         # this check and the write.
-        left_s = attempt.answer_by_s - self.timer.monotonic()
+        left_s = attempt.deadline_at_s - self.timer.monotonic()
         if left_s <= 0:
             self._keep(connection, attempt)
             return _failed(
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -125,7 +125,9 @@
         hosts = self.roster.serving()
         if self.ready:
             hosts.append(self.roster.own)
-        return directory_answer.choose(hosts, region=region, zone=zone)
+        return directory_answer.choose_addresses(
+            hosts, region=region, zone=zone
+        )
 
     async def run(self) -> None:
         """Serve until the signal to stop, then stop gracefully."""
--- a/tests/components/directory/test_answer.py
+++ b/tests/components/directory/test_answer.py
@@ -29,31 +29,38 @@
 
 def test_hosts_of_the_zone_come_alone() -> None:
     """Guard against bytes between zones on the way to the entry host."""
-    assert answer.choose(HOSTS, region="a", zone="a1") == ["h1", "h2"]
+    assert answer.choose_addresses(HOSTS, region="a", zone="a1") == [
+        "h1",
+        "h2",
+    ]
 
 
 def test_single_host_of_a_zone_is_not_named_alone() -> None:
     """Guard against callers without a choice when their host stops."""
-    assert answer.choose(HOSTS, region="a", zone="a2") == ["h1", "h2", "h3"]
+    assert answer.choose_addresses(HOSTS, region="a", zone="a2") == [
+        "h1",
+        "h2",
+        "h3",
+    ]
 
 
 def test_other_regions_are_named_only_without_any_near_host() -> None:
     """Guard against bodies sent to regions that are not allowed."""
-    assert answer.choose(HOSTS, region="b", zone="b1") == ["h4"]
-    assert len(answer.choose(HOSTS, region="c", zone="c1")) == 4
+    assert answer.choose_addresses(HOSTS, region="b", zone="b1") == ["h4"]
+    assert len(answer.choose_addresses(HOSTS, region="c", zone="c1")) == 4
 
 
 def test_strongest_hosts_carry_a_large_zone() -> None:
     """Guard against traffic for hosts with little processor or link."""
     zone = [host(f"h{n:02}", "a1", float(n)) for n in range(15)]
-    named = answer.choose(zone, region="a", zone="a1")
+    named = answer.choose_addresses(zone, region="a", zone="a1")
     assert named == ["h14", "h13", "h12", "h11", "h10"]
 
 
 def test_next_strongest_host_takes_over_from_one_that_left() -> None:
     """Guard against a zone that loses capacity while hosts are unused."""
     zone = [host(f"h{n:02}", "a1", float(n)) for n in range(14)]
-    named = answer.choose(zone[:-1], region="a", zone="a1")
+    named = answer.choose_addresses(zone[:-1], region="a", zone="a1")
     assert len(named) == 5
     assert "h08" in named
 
--- a/tests/components/forwarding/test_forwarder.py
+++ b/tests/components/forwarding/test_forwarder.py
@@ -241,7 +241,7 @@
     world = World(200, 200)
     world.run(build.request(deadline_at_s=0.3))
     world.run(build.request(deadline_at_s=30.0))
-    assert [attempt.answer_by_s for attempt in world.sender.attempts] == [
+    assert [attempt.deadline_at_s for attempt in world.sender.attempts] == [
         0.3,
         1.0,
     ]
