--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -202,7 +202,7 @@
             metrics=self.metrics,
         )
         self.backend = io_client.HttpBackendClient(timer=self.timer)
-        self.outcomes = outcomes.OutcomeBook(
+        self.outcomes = outcomes.OutcomeTable(
             host=self.host, timer=self.timer, started_at_s=self.started_at_s
         )
         self.executor = executor.Executor(
@@ -489,7 +489,7 @@
     def _on_catalogue(self) -> None:
         view = self.catalogue.view
         self.ledger.set_limits(limits.quota_limits(view))
-        self.health.set_known(view.servers)
+        self.health.set_known_servers(view.servers)
         self.host_list.publish()
         self.mesh.heartbeat_now()
         LOGGER.info("catalogue position %d in force", self.catalogue.position)
