--- a/src/samphirelug/components/admission/__init__.py
+++ b/src/samphirelug/components/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Queue and admit requests by rank."""
+"""Admit, queue or refuse requests of callers by rank."""
--- a/src/samphirelug/components/admission/const.py
+++ b/src/samphirelug/components/admission/const.py
@@ -1,43 +1,47 @@
-"""Hold the admission component's limits and intervals."""
+"""Define limits and intervals of the admission component."""
 
-# Bounds of the queue of one rank.
+# Limits of the queue of each rank.
 QUEUE_MAX_REQUESTS = 512
 QUEUE_MAX_BYTES = 32 * 1024 * 1024
-# One work entry may fill this part of a queue, so that one that cannot be
-# placed leaves room for the others of its rank.
-QUEUE_WORK_PART = 0.5
+# Maximum fraction of a queue that one work entry may fill. A work entry whose
+# requests cannot be dispatched must not keep out the others of its rank.
+QUEUE_WORK_FRACTION = 0.5
 
-# Queued requests are checked this often for expired deadlines, and for room
-# that nothing announced (ramps, probes, lingering units).
-TICK_S = 0.02
+# Interval at which queued requests are checked for expired deadlines, and for
+# capacity that becomes available without a callback (slow start, probes, end
+# of a linger time).
+QUEUE_CHECK_INTERVAL_S = 0.02
 
-# A request may leave its home region when its wait there is longer.
-SPILL_WAIT_S = 0.5
-# A loan takes one round trip to a peer; without one after this time the
-# region counts as silent, and what has no share elsewhere is refused.
-LOAN_WAIT_S = 0.25
-# Time between two requests for loans for the same queued work.
-WANT_INTERVAL_S = 0.05
-# A request that has lacked link bytes for this long gets the next ones.
-CLAIM_AFTER_S = 0.5
-# The service time that a queued request needs before its deadline counts up
-# to this part of its work entry's deadline.
-OWN_TIME_PART = 0.5
-# Retry-After where no estimate can be made.
+# A request may be served outside its home region if its wait there is longer.
+SPILLOVER_WAIT_S = 0.5
+# A loan takes one round trip to a peer. Without a loan after this time,
+# requests no longer wait for the region, and are refused if this host has no
+# share of another region.
+LOAN_TIMEOUT_S = 0.25
+# Minimum interval between two requests for loans for the same flow.
+LOAN_REQUEST_INTERVAL_S = 0.05
+# Link bytes are reserved for a request that has been queued for longer.
+LINK_RESERVATION_AFTER_S = 0.5
+# Maximum service margin, the time before its deadline at which a queued
+# request must be dispatched, as a fraction of its work entry's deadline.
+SERVICE_MARGIN_MAX_FRACTION = 0.5
+# Retry-After if the wait cannot be estimated.
 RETRY_AFTER_UNKNOWN_S = 1.0
 
-# A rank that could not use its credit keeps at most this many dispatches.
+# Maximum number of dispatches that a rank can save up as credit.
 CREDIT_MAX = 2.0
 
-# Assumed until the first request of a service has ended.
-HOLD_DEFAULT_S = 0.05
-HOLD_WEIGHT = 0.1
-# Average deviations above the mean within which most requests end.
-HOLD_DEVIATIONS = 2.0
-# Dispatches older than a few times this do not count in a measured rate.
+# Service time assumed until the first request of a service has ended.
+SERVICE_TIME_DEFAULT_S = 0.05
+# Weight of the newest observation in the average service time.
+SERVICE_TIME_WEIGHT = 0.1
+# Most requests end within the mean plus this many mean deviations.
+SERVICE_TIME_DEVIATIONS = 2.0
+# Time constant of the decay of measured dispatch rates. Dispatches older than
+# a few times this hardly count.
 RATE_WINDOW_S = 1.0
 
-# A lender keeps this part of its spare units, so that two hosts in need do
-# not pass the same units to and fro.
-LEND_KEEP_PART = 0.5
+# Fraction of its spare units that a lender keeps, so that two hosts short of
+# units do not lend each other the same units in turn.
+LEND_KEEP_FRACTION = 0.5
 LEND_MAX_BUNDLES = 64
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -36,9 +36,9 @@
 
 Code = result_codes.ResultCode
 
-# Codes that name a cause of their own; the others yield to the way in which
-# a request was refused (queue full, deadline).
-_NAMED_CAUSES = frozenset(
+# Codes that are reported even if a request is refused because the queue is
+# full or its deadline cannot be met.
+_SPECIFIC_CODES = frozenset(
     (
         Code.SHIFT_CAP,
         Code.LINK_LIMIT,
@@ -47,38 +47,40 @@
         Code.NO_SHARE,
     )
 )
-_ABSENCES = frozenset((Code.NO_BACKEND_SERVER, Code.NO_SHARE))
+# Codes of a region that has no backend server or no share for this host.
+_UNAVAILABLE_CODES = frozenset((Code.NO_BACKEND_SERVER, Code.NO_SHARE))
 
 
-class OpenPermit(NamedTuple):
-    """Remember what a permit uses until it is finished."""
+class ActivePermit(NamedTuple):
+    """Record what a permit uses until it is finished."""
 
     rank: core.Rank
     service: str
     granted_at_s: float
-    # Pools whose units end with the permit, and later for those that linger.
+    # Units by pool, released when the permit ends or after their linger time.
     units: tuple[quota_model.UnitAmount, ...]
 
 
-class ViewFacts:
-    """Hold what admission derives from one catalogue view."""
+class CatalogueRanks:
+    """Index the ranks that the work entries of a catalogue view use."""
 
     def __init__(self, view: catalogue_view.CatalogueView) -> None:
         self.view = view
-        self.ranks: frozenset[core.Rank] = frozenset(
+        self.configured: frozenset[core.Rank] = frozenset(
             work["work_class"].rank for work in view.works.values()
         )
-        by_service: dict[str, set[core.Rank]] = {}
+        ranks_by_service: dict[str, set[core.Rank]] = {}
         for work in view.works.values():
-            ranks = by_service.setdefault(work["backend_service"], set())
+            ranks = ranks_by_service.setdefault(work["backend_service"], set())
             ranks.add(work["work_class"].rank)
-        self.ranks_of_service = {
-            service: frozenset(ranks) for service, ranks in by_service.items()
+        self.by_service = {
+            service: frozenset(ranks)
+            for service, ranks in ranks_by_service.items()
         }
 
 
 class AdmissionController:
-    """Decide for each request from the units at hand."""
+    """Admit, queue or refuse each request, depending on free units."""
 
     def __init__(
         self,
@@ -99,33 +101,35 @@
         self.host = planner.host
         self.queues = tuple(queue.RankQueue(rank=rank) for rank in core.Rank)
         self.usage = scheduler.RankUsage()
-        self.credits = scheduler.CreditBook()
+        self.credits = scheduler.CreditAccounts()
         self.estimator = estimate.WaitEstimator()
-        self.open: dict[tuple[model.PermitSource, int], OpenPermit] = {}
-        # Pairs of service and home region whose units come by loan only, and
-        # for which no loan came in time.
-        self.silent: set[tuple[str, str]] = set()
+        self.active_permits: dict[
+            tuple[model.PermitSource, int], ActivePermit
+        ] = {}
+        # Pairs of service and home region of which this host has no share, and
+        # for which no loan was received in time.
+        self.loan_timeouts: set[tuple[str, str]] = set()
         self.loan_ids = itertools.count(1)
-        self.loans_seen = 0
-        self._facts = ViewFacts(catalogue.view)
-        self._slots: dict[tuple[str, str], steering_model.SlotCount] = {}
-        self._tick: timer_helper.Subscription | None = None
-        self._paused = False
-        self._woken = False
-        self._returning = False
-        # By link key: a flow that waits for many bytes, and how many.
-        self.claims: dict[str, tuple[queue.Flow, int]] = {}
-        ledger.on_free.append(self.wake)
-        borrower.on_free.append(self._loans_came)
-        planner.health.on_usable.append(self.wake)
+        self.loan_arrivals = 0
+        self._catalogue_ranks = CatalogueRanks(catalogue.view)
+        self._slot_cache: dict[tuple[str, str], steering_model.SlotCount] = {}
+        self._check_timer: timer_helper.Subscription | None = None
+        self._dispatch_paused = False
+        self._dispatch_pending = False
+        self._returning_bundles = False
+        # By link key: the flow that bytes are reserved for, and how many.
+        self.link_reservations: dict[str, tuple[queue.Flow, int]] = {}
+        ledger.on_free.append(self.dispatch_queued)
+        borrower.on_free.append(self._on_loans_arrived)
+        planner.health.on_usable.append(self.dispatch_queued)
 
     async def admit(
         self, request: core.CallerRequest, *, excluded: frozenset[str]
     ) -> Result[model.Permit, result_codes.Refusal]:
-        """Return a permit as units for the request can be had.
+        """Return a permit once units for the request are available.
 
-        Cancelling the task gives up. Fails with the code of the most
-        specific cause; nothing has been sent then.
+        Cancelling the task removes the request from its queue. Fails with
+        the code of the most specific cause; nothing has been sent then.
         """
         now = self.timer.monotonic()
         work = self.catalogue.view.works.get(request.work)
@@ -142,39 +146,41 @@
                     Code.DEADLINE_EXPIRED, "the deadline has passed"
                 )
             )
-        ranked = self.queues[request.rank]
+        rank_queue = self.queues[request.rank]
         key = queue.FlowKey(
             request.work,
             request.home_region,
             len(request.body).bit_length() // 2,
             excluded,
         )
-        flow = ranked.flows.get(key)
+        flow = rank_queue.flows.get(key)
         if flow is None:
             flow = queue.Flow(
                 key=key, rank=request.rank, service=work["backend_service"]
             )
-            self._slots.clear()
+            self._slot_cache.clear()
             permit = self._place(flow, request, now, now)
             if permit is not None:
                 return Success(permit)
-        # A flow with queued requests was tried when units last came free, so
-        # a request that joins it cannot be placed now either.
-        refusal = self._refusal(flow, request, now)
+        # A flow with queued requests was attempted when units last became
+        # free, so a request that joins it cannot be placed now either.
+        refusal = self._refusal_on_arrival(flow, request, now)
         if refusal is not None:
             return Failure(refusal)
-        future: asyncio.Future[queue.Admission] = (
+        future: asyncio.Future[queue.AdmissionResult] = (
             asyncio.get_running_loop().create_future()
         )
-        waiting = ranked.push(flow, request=request, future=future, now=now)
-        self._start_tick()
-        self._want(flow, now)
+        queued_request = rank_queue.push(
+            flow, request=request, future=future, now=now
+        )
+        self._schedule_check()
+        self._request_loans(flow, now)
         try:
             return await future
         except asyncio.CancelledError:
-            ranked.remove(waiting)
+            rank_queue.remove(queued_request)
             if future.done() and not future.cancelled():
-                self._give_back(future.result(), request)
+                self._release_unused(future.result(), request)
             raise
 
     def finish(
@@ -188,40 +194,42 @@
     ) -> None:
         """End a permit; a second call has no effect.
 
-        Give 0 answer bytes when the request was certainly not sent. Without
-        the traffic, all bytes reserved for the request count as sent.
+        Pass 0 answer bytes if the request was certainly not sent. Without
+        traffic, all bytes reserved for the request count as sent.
         """
-        opened = self.open.pop((permit.source, permit.hold_id), None)
-        if opened is None:
+        active = self.active_permits.pop((permit.source, permit.hold_id), None)
+        if active is None:
             return
         now = self.timer.monotonic()
         orphaned = ended is model.PermitEnd.ORPHANED
-        end_s = now
+        ends_at_s = now
         if orphaned:
-            end_s = request.deadline_at_s + shared_const.ORPHAN_MARGIN_S
+            ends_at_s = request.deadline_at_s + shared_const.ORPHAN_MARGIN_S
         elif answer_bytes:
-            self.estimator.observe_hold(
-                opened.service, request.work, now - opened.granted_at_s
+            self.estimator.observe_service_time(
+                active.service, request.work, now - active.granted_at_s
             )
-        self._paused = True
+        self._dispatch_paused = True
         try:
             if permit.source is model.PermitSource.LOAN:
                 self.borrower.end(
                     permit, ended=ended, deadline_at_s=request.deadline_at_s
                 )
             else:
-                here = self.host.zone.region
-                back = limits.link_key(permit.bundle.region, here)
-                sizes = {back: answer_bytes}
+                own_region = self.host.zone.region
+                answer_link = limits.link_key(permit.bundle.region, own_region)
+                link_bytes = {answer_link: answer_bytes}
                 if traffic is not None:
-                    there = limits.link_key(here, permit.bundle.region)
-                    sizes[there] = traffic.sent_bytes
-                    sizes[back] = traffic.received_bytes
-                self._release(permit, opened, end_s, orphaned, sizes)
+                    request_link = limits.link_key(
+                        own_region, permit.bundle.region
+                    )
+                    link_bytes[request_link] = traffic.sent_bytes
+                    link_bytes[answer_link] = traffic.received_bytes
+                self._release(permit, active, ends_at_s, orphaned, link_bytes)
         finally:
-            self._paused = False
-        if self._woken or permit.source is model.PermitSource.LOAN:
-            self.wake()
+            self._dispatch_paused = False
+        if self._dispatch_pending or permit.source is model.PermitSource.LOAN:
+            self.dispatch_queued()
 
     def refusal_for(
         self,
@@ -231,59 +239,61 @@
         deadline_at_s: float,
         body_bytes: int,
     ) -> result_codes.Refusal | None:
-        """Return why a request would be refused, before its body is read."""
+        """Return a refusal if one is certain before the body is read."""
         entry = self.catalogue.view.works.get(work)
         if entry is None:
             return None
-        ranked = self.queues[entry["work_class"].rank]
+        rank_queue = self.queues[entry["work_class"].rank]
         key = queue.FlowKey(
             work, home_region, body_bytes.bit_length() // 2, frozenset()
         )
-        flow = ranked.flows.get(key)
+        flow = rank_queue.flows.get(key)
         if flow is None:
             return None
         now = self.timer.monotonic()
         return self._bounds_refusal(flow, body_bytes, deadline_at_s, now)
 
-    def wake(self) -> None:
-        """Give units that have become free to queued requests."""
-        if self._paused:
-            self._woken = True
+    def dispatch_queued(self) -> None:
+        """Dispatch queued requests for which units have become free."""
+        if self._dispatch_paused:
+            self._dispatch_pending = True
             return
-        self._paused = True
+        self._dispatch_paused = True
         try:
-            self._woken = True
-            while self._woken:
-                self._woken = False
-                self._slots.clear()
-                self._dispatch()
+            self._dispatch_pending = True
+            while self._dispatch_pending:
+                self._dispatch_pending = False
+                self._slot_cache.clear()
+                self._dispatch_all()
         finally:
-            self._paused = False
+            self._dispatch_paused = False
 
     def grant(
         self, request: peers_model.GrantRequest, *, borrower: str
     ) -> peers_model.Grant:
-        """Lend bundles that own requests of the same rank do not need."""
+        """Lend bundles that this host's own queued requests do not need."""
         loan_id = self._loan_id(borrower)
         view = self.catalogue.view
         work = view.works.get(request.work)
         bundles: list[quota_model.Bundle] = []
         duration_s = quota_const.LOAN_S
         if work is not None:
-            self._slots.clear()
+            self._slot_cache.clear()
             service = work["backend_service"]
             rank = work["work_class"].rank
-            spare = self._spare(service, request.region, rank, request)
-            wanted = min(request.bundles_wanted, spare, const.LEND_MAX_BUNDLES)
-            for number in range(1, wanted + 1):
-                bundle = self._lend_one(
-                    view, work, request, loan_id, number, duration_s
+            spare = self._spare_bundles(service, request.region, rank, request)
+            bundle_count = min(
+                request.bundles_wanted, spare, const.LEND_MAX_BUNDLES
+            )
+            for bundle_number in range(1, bundle_count + 1):
+                bundle = self._lend_bundle(
+                    view, work, request, loan_id, bundle_number, duration_s
                 )
-                if bundle is None and number == 1:
-                    # Units that are borrowed themselves have less time left.
+                if bundle is None and bundle_number == 1:
+                    # Borrowed units expire sooner than own ones.
                     duration_s /= 2.0
-                    bundle = self._lend_one(
-                        view, work, request, loan_id, number, duration_s
+                    bundle = self._lend_bundle(
+                        view, work, request, loan_id, bundle_number, duration_s
                     )
                 if bundle is None:
                     break
@@ -293,14 +303,16 @@
     def grant_units(
         self, request: peers_model.UnitRequest, *, borrower: str
     ) -> peers_model.UnitGrant:
-        """Lend plain units, which leave the guaranteed parts untouched."""
+        """Lend units of single keys beyond the guaranteed fractions."""
         loan_id = self._loan_id(borrower)
         units: list[quota_model.UnitAmount] = []
         for key, amount in request.units:
-            reserve = self._reserve(key, core.Rank.EXPORT, self.ledger.usable)
+            reserve = self._reserved_units(
+                key, core.Rank.EXPORT, self.ledger.usable
+            )
             spare = max(0, self.ledger.free(key) - reserve)
-            # Nothing is kept back, since only a host that needs more than
-            # its own share asks.
+            # LEND_KEEP_FRACTION does not apply, since only a host that needs
+            # more than its own share sends this request.
             lent = min(amount, spare)
             if lent > 0:
                 units.append(quota_model.UnitAmount(key, lent))
@@ -312,34 +324,36 @@
         return peers_model.UnitGrant(loan_id, tuple(units), quota_const.LOAN_S)
 
     def queued(self) -> tuple[int, int, int]:
-        """Return the requests queued, by Rank value."""
-        urgent, interactive, export = (ranked.count for ranked in self.queues)
+        """Return the number of queued requests, indexed by Rank value."""
+        urgent, interactive, export = (
+            rank_queue.count for rank_queue in self.queues
+        )
         return urgent, interactive, export
 
     def wait_s(self, rank: core.Rank) -> float:
-        """Return seconds until a new request of the rank finds room.
+        """Return the expected wait of a new request, in seconds.
 
-        Flows held up by their own work entry's limit do not count, since
-        other work of the rank does not wait for them. Flows of callers from
-        other regions do not either: they wait for loans, and look-ups near
-        this host must not be refused for their sake.
+        Flows blocked by the limit of their work entry are left out, since
+        other work of the rank does not wait for them. So are flows of callers
+        from other regions: they wait for loans, and look-ups near this host
+        must not be refused because of them.
         """
         now = self.timer.monotonic()
-        worst_s = 0.0
+        longest_s = 0.0
         for flow in self.queues[rank].flows.values():
             if flow.key.home_region != self.host.zone.region:
                 continue
-            if self._cause(flow) is Code.WORK_LIMIT:
+            if self._shortage_code(flow) is Code.WORK_LIMIT:
                 continue
-            wait_s = self._wait(flow, now)
+            wait_s = self._flow_wait_s(flow, now)
             if math.isfinite(wait_s):
-                worst_s = max(worst_s, wait_s)
-        return worst_s
+                longest_s = max(longest_s, wait_s)
+        return longest_s
 
     def headroom(self) -> tuple[peers_model.RegionHeadroom, ...]:
-        """Return own units free and in all, by service and region."""
-        self._slots.clear()
-        rooms: list[peers_model.RegionHeadroom] = []
+        """Return free and total own units, by service and region."""
+        self._slot_cache.clear()
+        headrooms: list[peers_model.RegionHeadroom] = []
         view = self.catalogue.view
         for region in view.regions:
             usable = self.ledger.usable(limits.region_key(region))
@@ -350,7 +364,7 @@
                 slots = self._slots_of(service, region)
                 if not slots.usable:
                     continue
-                rooms.append(
+                headrooms.append(
                     peers_model.RegionHeadroom(
                         region=region,
                         service=service,
@@ -358,7 +372,7 @@
                         held=min(usable, slots.usable),
                     )
                 )
-        return tuple(rooms)
+        return tuple(headrooms)
 
     # Placing a request.
 
@@ -366,35 +380,40 @@
         self,
         flow: queue.Flow,
         request: core.CallerRequest,
-        since_s: float,
+        queued_at_s: float,
         now: float,
         *,
-        due: bool = False,
+        uses_credit: bool = False,
     ) -> model.Permit | None:
         home = request.home_region
         work = self.catalogue.view.works.get(request.work)
         if work is None:
             return None
         regions = self.planner.regions_for(request)
-        flow.blocks = {
-            region: block
-            for region, block in flow.blocks.items()
+        flow.shortages = {
+            region: shortage
+            for region, shortage in flow.shortages.items()
             if region in regions
         }
-        loans = flow.loans_seen != self.loans_seen
+        has_new_loans = flow.loan_arrivals != self.loan_arrivals
         permit = None
         for region in regions:
-            if region != home and not self._may_leave(flow, since_s, now):
+            if region != home and not self._may_leave_home(
+                flow, queued_at_s, now
+            ):
                 break
-            permit = self._place_own(flow, work, request, region, now, due)
-            if permit is None and loans:
+            permit = self._place_own(
+                flow, work, request, region, now, uses_credit
+            )
+            if permit is None and has_new_loans:
                 permit = self._place_borrowed(flow, request, region, now)
             if permit is not None:
                 self._count_dispatch(flow, region, now)
                 break
         else:
-            # No bundle is at hand in any region until new ones come.
-            flow.loans_seen = self.loans_seen
+            # All regions were attempted: no borrowed bundle fits until new
+            # ones arrive.
+            flow.loan_arrivals = self.loan_arrivals
         return permit
 
     def _place_own(
@@ -404,63 +423,65 @@
         request: core.CallerRequest,
         region: str,
         now: float,
-        due: bool,
+        uses_credit: bool,
     ) -> model.Permit | None:
-        rank = self._rank_for_reserve(flow, region) if due else flow.rank
-        known = flow.blocks.get(region)
+        rank = (
+            self._rank_for_reserve(flow, region) if uses_credit else flow.rank
+        )
+        known_shortage = flow.shortages.get(region)
         if (
-            known is not None
+            known_shortage is not None
             and rank is flow.rank
-            and self._still_blocked(known, flow, region)
+            and self._is_still_short(known_shortage, flow, region)
         ):
             return None
-        block = self._missing(flow, work, request, region, rank)
-        if block is None:
-            taken = self._hold(flow, work, request, region, rank, now)
-            if isinstance(taken, model.Permit):
-                flow.blocks.pop(region, None)
-                return taken
-            block = taken
-        flow.blocks[region] = block
+        shortage = self._find_shortage(flow, work, request, region, rank)
+        if shortage is None:
+            held = self._try_hold(flow, work, request, region, rank, now)
+            if isinstance(held, model.Permit):
+                flow.shortages.pop(region, None)
+                return held
+            shortage = held
+        flow.shortages[region] = shortage
         return None
 
-    def _missing(
+    def _find_shortage(
         self,
         flow: queue.Flow,
         work: catalogue_model.WorkEntry,
         request: core.CallerRequest,
         region: str,
         rank: core.Rank,
-    ) -> queue.Block | None:
-        """Return the first scarce key of those that cost little to check."""
+    ) -> queue.Shortage | None:
+        """Return the first shortage among keys that are cheap to check."""
         ledger = self.ledger
         key = limits.region_key(region)
         service = flow.service
         if not self.planner.has_servers(service=service, region=region):
-            return queue.Block(Code.NO_BACKEND_SERVER, "", 0)
+            return queue.Shortage(Code.NO_BACKEND_SERVER, "", 0)
         if not ledger.usable(key):
-            return queue.Block(Code.NO_SHARE, key, 1)
-        needed = 1 + self._reserve(key, rank, ledger.usable)
+            return queue.Shortage(Code.NO_SHARE, key, 1)
+        needed = 1 + self._reserved_units(key, rank, ledger.usable)
         if ledger.free(key) < needed:
-            return queue.Block(Code.REGION_LIMIT, key, needed)
+            return queue.Shortage(Code.REGION_LIMIT, key, needed)
         key = limits.work_key(work["name"], region)
         if ledger.free(key) < 1:
-            return queue.Block(Code.WORK_LIMIT, key, 1)
+            return queue.Shortage(Code.WORK_LIMIT, key, 1)
         if region != request.home_region:
             key = limits.shift_key(region)
-            needed = 1 + self._reserve(key, rank, ledger.usable)
+            needed = 1 + self._reserved_units(key, rank, ledger.usable)
             if ledger.free(key) < needed:
-                return queue.Block(Code.SHIFT_CAP, key, needed)
+                return queue.Shortage(Code.SHIFT_CAP, key, needed)
         slots = self._slots_of(service, region)
         pool = _slot_pool(service, region)
-        needed = 1 + self._reserve(
+        needed = 1 + self._reserved_units(
             pool, rank, lambda _: slots.usable, service=service
         )
         if slots.free < needed:
-            return queue.Block(Code.OVERLOADED, pool, needed)
+            return queue.Shortage(Code.OVERLOADED, pool, needed)
         return None
 
-    def _hold(
+    def _try_hold(
         self,
         flow: queue.Flow,
         work: catalogue_model.WorkEntry,
@@ -468,12 +489,12 @@
         region: str,
         rank: core.Rank,
         now: float,
-    ) -> model.Permit | queue.Block:
+    ) -> model.Permit | queue.Shortage:
         servers = self.planner.servers_for(
             service=flow.service, region=region, excluded=flow.key.excluded
         )
         if not servers:
-            return self._no_server(flow, region)
+            return self._no_server_shortage(flow, region)
         bundle = limits.bundle_for(
             view=self.catalogue.view,
             work=work,
@@ -485,15 +506,17 @@
         for key, amount in bundle.units:
             if not key.startswith("link:"):
                 continue
-            needed = amount + self._reserve(key, rank, self.ledger.usable)
+            needed = amount + self._reserved_units(
+                key, rank, self.ledger.usable
+            )
             if self.ledger.free(key) < needed:
-                return queue.Block(Code.LINK_LIMIT, key, needed)
+                return queue.Shortage(Code.LINK_LIMIT, key, needed)
         held = self.ledger.try_hold(bundle)
         if not isinstance(held, Success):
-            # Each key was free a moment ago, in the same event loop step.
-            return queue.Block(Code.OVERLOADED, held.failure(), 1)
+            # Not expected: each key was free in the same event loop step.
+            return queue.Shortage(Code.OVERLOADED, held.failure(), 1)
         permit = model.Permit(held.unwrap(), bundle, model.PermitSource.OWN)
-        self._slots.pop((flow.service, region), None)
+        self._slot_cache.pop((flow.service, region), None)
         pools = [
             quota_model.UnitAmount(_slot_pool(flow.service, region), 1),
             *(
@@ -504,13 +527,15 @@
         ]
         for pool, amount in pools:
             self.usage.add(pool, flow.rank, amount)
-        self._open(permit, flow, now, tuple(pools))
+        self._record_permit(permit, flow, now, tuple(pools))
         return permit
 
-    def _no_server(self, flow: queue.Flow, region: str) -> queue.Block:
+    def _no_server_shortage(
+        self, flow: queue.Flow, region: str
+    ) -> queue.Shortage:
         """Return why free slots cannot be used.
 
-        The block names no key, so that each wake tries again.
+        The shortage names no key, so that each dispatch checks it again.
         """
         servers = self.catalogue.view.servers_in(
             service=flow.service, region=region
@@ -520,9 +545,9 @@
             and server.name not in flow.key.excluded
             for server in servers
         ):
-            # Slow start holds the free ones back, or they are excluded.
-            return queue.Block(Code.OVERLOADED, "", 0)
-        return queue.Block(Code.NO_BACKEND_SERVER, "", 0)
+            # Servers with free slots are in slow start or excluded.
+            return queue.Shortage(Code.OVERLOADED, "", 0)
+        return queue.Shortage(Code.NO_BACKEND_SERVER, "", 0)
 
     def _place_borrowed(
         self,
@@ -547,58 +572,61 @@
             ):
                 break
             rejected.append(permit)
-        # Ended only now, since a bundle that has ended can be taken again.
-        # The lender may not know yet that these servers are leaving.
-        self._returning = True
-        for other in rejected:
+        # The lender may not know yet that these servers are leaving. Permits
+        # are ended only after the loop, since take() would return their
+        # bundles again.
+        self._returning_bundles = True
+        for rejected_permit in rejected:
             self.borrower.end(
-                other,
+                rejected_permit,
                 ended=model.PermitEnd.COMPLETE,
                 deadline_at_s=request.deadline_at_s,
             )
-        self._returning = False
+        self._returning_bundles = False
         if permit is None:
             return None
-        self.silent.discard((flow.service, request.home_region))
-        self._open(permit, flow, now, ())
+        self.loan_timeouts.discard((flow.service, request.home_region))
+        self._record_permit(permit, flow, now, ())
         return permit
 
-    def _open(
+    def _record_permit(
         self,
         permit: model.Permit,
         flow: queue.Flow,
         now: float,
         units: tuple[quota_model.UnitAmount, ...],
     ) -> None:
-        self.open[(permit.source, permit.hold_id)] = OpenPermit(
+        self.active_permits[(permit.source, permit.hold_id)] = ActivePermit(
             flow.rank, flow.service, now, units
         )
 
     def _release(
         self,
         permit: model.Permit,
-        opened: OpenPermit,
-        end_s: float,
+        active: ActivePermit,
+        ends_at_s: float,
         orphaned: bool,
-        sizes: Mapping[str, int],
+        link_bytes: Mapping[str, int],
     ) -> None:
-        for key, reserved in opened.units:
+        for key, reserved in active.units:
             amount = reserved
-            if key in sizes and not orphaned:
-                amount = min(reserved, sizes[key])
+            if key in link_bytes and not orphaned:
+                amount = min(reserved, link_bytes[key])
                 self.ledger.shrink(permit.hold_id, key, amount)
-                self.usage.add(key, opened.rank, amount - reserved)
+                self.usage.add(key, active.rank, amount - reserved)
             linger_s = self.ledger.linger_s(key) or 0.0
             if orphaned or linger_s:
-                self.usage.end_at(key, opened.rank, amount, end_s + linger_s)
+                self.usage.end_at(
+                    key, active.rank, amount, ends_at_s + linger_s
+                )
             else:
-                self.usage.add(key, opened.rank, -amount)
-        self.ledger.release_at(permit.hold_id, end_s)
+                self.usage.add(key, active.rank, -amount)
+        self.ledger.release_at(permit.hold_id, ends_at_s)
 
-    def _give_back(
-        self, admission: queue.Admission, request: core.CallerRequest
+    def _release_unused(
+        self, admission: queue.AdmissionResult, request: core.CallerRequest
     ) -> None:
-        """End a permit whose caller left before it could be used."""
+        """End a permit whose request was cancelled before it was sent."""
         if isinstance(admission, Success):
             self.finish(
                 admission.unwrap(),
@@ -607,38 +635,40 @@
                 answer_bytes=0,
             )
 
-    def _may_leave(self, flow: queue.Flow, since_s: float, now: float) -> bool:
-        """Return whether a request need not wait for its home region."""
+    def _may_leave_home(
+        self, flow: queue.Flow, queued_at_s: float, now: float
+    ) -> bool:
+        """Return whether other regions may serve the request now."""
         home = flow.key.home_region
-        block = flow.blocks.get(home)
-        if block is None or block.code is Code.NO_BACKEND_SERVER:
+        shortage = flow.shortages.get(home)
+        if shortage is None or shortage.code is Code.NO_BACKEND_SERVER:
             return True
-        if block.code is Code.NO_SHARE:
-            return (flow.service, home) in self.silent
-        if now - since_s > const.SPILL_WAIT_S:
+        if shortage.code is Code.NO_SHARE:
+            return (flow.service, home) in self.loan_timeouts
+        if now - queued_at_s > const.SPILLOVER_WAIT_S:
             return True
-        return self._wait(flow, now) > const.SPILL_WAIT_S
+        return self._flow_wait_s(flow, now) > const.SPILLOVER_WAIT_S
 
-    def _still_blocked(
-        self, block: queue.Block, flow: queue.Flow, region: str
+    def _is_still_short(
+        self, shortage: queue.Shortage, flow: queue.Flow, region: str
     ) -> bool:
-        if not block.key:
+        if not shortage.key:
             return False
-        if block.code is Code.OVERLOADED:
-            return self._slots_of(flow.service, region).free < block.needed
-        return self.ledger.free(block.key) < block.needed
+        if shortage.code is Code.OVERLOADED:
+            return self._slots_of(flow.service, region).free < shortage.needed
+        return self.ledger.free(shortage.key) < shortage.needed
 
     def _slots_of(self, service: str, region: str) -> steering_model.SlotCount:
-        place = (service, region)
-        slots = self._slots.get(place)
+        key = (service, region)
+        slots = self._slot_cache.get(key)
         if slots is None:
             slots = self.planner.slots(service=service, region=region)
-            self._slots[place] = slots
+            self._slot_cache[key] = slots
         return slots
 
     # Ranks.
 
-    def _reserve(
+    def _reserved_units(
         self,
         key: str,
         rank: core.Rank,
@@ -648,159 +678,184 @@
     ) -> int:
         if rank is core.Rank.URGENT:
             return 0
-        facts = self._view_facts()
-        parts = _parts_of_key(facts.view, key)
+        ranks = self._current_ranks()
+        parts = _guaranteed_parts_of(ranks.view, key)
         if parts is None:
             return 0
-        present = facts.ranks
+        configured = ranks.configured
         if service is not None:
-            present = facts.ranks_of_service.get(service, frozenset())
-        return scheduler.reserve_above(
+            configured = ranks.by_service.get(service, frozenset())
+        return scheduler.reserved_for_more_urgent(
             rank=rank,
             usable=usable(key),
             used=self.usage.used(key, self.timer.monotonic()),
             parts=parts,
-            present=present,
+            configured=configured,
         )
 
     def _rank_for_reserve(self, flow: queue.Flow, region: str) -> core.Rank:
-        """Return the rank whose reserves hold for a rank with a credit.
+        """Return the rank whose reserves apply to a dispatch by credit.
 
         The unit would otherwise go to the most urgent rank that waits for
-        it, which need not leave anything free for the ranks below it.
+        it, which need not leave units free for less urgent ranks.
         """
-        for ranked in self.queues[: flow.rank]:
-            for other in ranked.flows.values():
-                block = other.blocks.get(region)
-                if block is not None and block.code is not Code.WORK_LIMIT:
-                    return ranked.rank
+        for rank_queue in self.queues[: flow.rank]:
+            for other in rank_queue.flows.values():
+                shortage = other.shortages.get(region)
+                if (
+                    shortage is not None
+                    and shortage.code is not Code.WORK_LIMIT
+                ):
+                    return rank_queue.rank
         return flow.rank
 
-    def _claimed(self, key: str, flow: queue.Flow) -> int:
-        claim = self.claims.get(key)
-        if claim is None or claim[0] is flow or claim[0].rank > flow.rank:
+    def _reserved_link_bytes(self, key: str, flow: queue.Flow) -> int:
+        reservation = self.link_reservations.get(key)
+        if (
+            reservation is None
+            or reservation[0] is flow
+            or reservation[0].rank > flow.rank
+        ):
             return 0
-        return claim[1]
+        return reservation[1]
 
-    def _claim_link_bytes(self, now: float) -> None:
-        """Keep link bytes for requests that need many at once.
+    def _reserve_link_bytes(self, now: float) -> None:
+        """Reserve link bytes for requests that need many at once.
 
-        Without this, requests with small bodies and answers would take the
-        bytes as they come free, and a large one would never be placed.
+        Without a reservation, requests with small bodies and answers would
+        take the bytes as they become free, and a large one would never be
+        dispatched.
         """
-        self.claims.clear()
-        for ranked in self.queues:
-            for flow in ranked.flows.values():
+        self.link_reservations.clear()
+        for rank_queue in self.queues:
+            for flow in rank_queue.flows.values():
                 head = flow.head()
-                if head is None or now - head.since_s < const.CLAIM_AFTER_S:
+                if (
+                    head is None
+                    or now - head.queued_at_s < const.LINK_RESERVATION_AFTER_S
+                ):
                     continue
-                for block in flow.blocks.values():
-                    if block.code is Code.LINK_LIMIT and (
-                        self.ledger.usable(block.key) >= block.needed
+                for shortage in flow.shortages.values():
+                    if shortage.code is Code.LINK_LIMIT and (
+                        self.ledger.usable(shortage.key) >= shortage.needed
                     ):
-                        self.claims.setdefault(block.key, (flow, block.needed))
+                        self.link_reservations.setdefault(
+                            shortage.key, (flow, shortage.needed)
+                        )
 
-    def _view_facts(self) -> ViewFacts:
-        if self._facts.view is not self.catalogue.view:
-            self._facts = ViewFacts(self.catalogue.view)
-        return self._facts
+    def _current_ranks(self) -> CatalogueRanks:
+        if self._catalogue_ranks.view is not self.catalogue.view:
+            self._catalogue_ranks = CatalogueRanks(self.catalogue.view)
+        return self._catalogue_ranks
 
     def _count_dispatch(
         self, flow: queue.Flow, region: str, now: float
     ) -> None:
-        domain = (flow.service, flow.key.home_region)
-        self.estimator.count_dispatch(domain, flow.rank, now)
-        if self.claims:
-            self.claims = {
-                key: claim
-                for key, claim in self.claims.items()
-                if claim[0] is not flow
+        service_region = (flow.service, flow.key.home_region)
+        self.estimator.count_dispatch(service_region, flow.rank, now)
+        if self.link_reservations:
+            self.link_reservations = {
+                key: reservation
+                for key, reservation in self.link_reservations.items()
+                if reservation[0] is not flow
             }
         entry = self.catalogue.view.regions.get(region)
         if entry is None:
             return
         pools = (limits.region_key(region), _slot_pool(flow.service, region))
         self.credits.spend(pools, flow.rank)
-        # Ranks earn at their own dispatches too: the guaranteed part is one
-        # of all dispatches.
-        for ranked in self.queues[core.Rank.INTERACTIVE :]:
-            part = scheduler.part_of(entry["guaranteed"], ranked.rank)
-            waiting = [
+        # Ranks earn credit at their own dispatches too, since the guaranteed
+        # fraction is one of all dispatches.
+        for rank_queue in self.queues[core.Rank.INTERACTIVE :]:
+            guaranteed_fraction = scheduler.guaranteed_fraction(
+                entry["guaranteed"], rank_queue.rank
+            )
+            waiting_flows = [
                 other
-                for other in ranked.flows.values()
-                if other is flow or region in other.blocks
+                for other in rank_queue.flows.values()
+                if other is flow or region in other.shortages
             ]
-            if waiting:
-                self.credits.earn(pools[0], ranked.rank, part)
-            if any(other.service == flow.service for other in waiting):
-                self.credits.earn(pools[1], ranked.rank, part)
+            if waiting_flows:
+                self.credits.earn(
+                    pools[0], rank_queue.rank, guaranteed_fraction
+                )
+            if any(other.service == flow.service for other in waiting_flows):
+                self.credits.earn(
+                    pools[1], rank_queue.rank, guaranteed_fraction
+                )
 
-    def _dispatch(self) -> None:
+    def _dispatch_all(self) -> None:
         while self._dispatch_one(self.timer.monotonic()):
             pass
 
     def _dispatch_one(self, now: float) -> bool:
-        for flow, due in self._flows_in_order():
+        for flow, uses_credit in self._flows_in_order():
             head = flow.head()
             while head is not None and head.future.done():
-                # Its caller was cancelled and has not run since.
+                # The waiting task was cancelled and has not run since.
                 self.queues[flow.rank].remove(head)
                 head = flow.head()
             if head is None or (
-                head.request.deadline_at_s <= now + self._own_time(flow)
+                head.request.deadline_at_s
+                <= now + self._service_margin_s(flow)
             ):
-                # The tick refuses it; a server could not answer in time.
+                # A server could not answer in time; the periodic check
+                # refuses the request.
                 continue
             permit = self._place(
-                flow, head.request, head.since_s, now, due=due
+                flow,
+                head.request,
+                head.queued_at_s,
+                now,
+                uses_credit=uses_credit,
             )
             if permit is None:
                 continue
-            ranked = self.queues[flow.rank]
-            ranked.remove(head)
-            if not ranked.count:
-                self.credits.forget(flow.rank)
+            rank_queue = self.queues[flow.rank]
+            rank_queue.remove(head)
+            if not rank_queue.count:
+                self.credits.reset(flow.rank)
             head.future.set_result(Success(permit))
             return True
         return False
 
     def _flows_in_order(self) -> Iterable[tuple[queue.Flow, bool]]:
-        """Return flows whose rank has a whole credit, then all by rank."""
-        due: list[tuple[float, int, queue.Flow]] = []
-        rest: list[tuple[float, int, queue.Flow]] = []
-        for ranked in self.queues:
-            for flow in ranked.flows.values():
+        """Return flows whose rank has a full credit, then all by rank."""
+        with_credit: list[tuple[float, int, queue.Flow]] = []
+        all_flows: list[tuple[float, int, queue.Flow]] = []
+        for rank_queue in self.queues:
+            for flow in rank_queue.flows.values():
                 head = flow.head()
                 if head is None:
                     continue
-                item = (head.request.deadline_at_s, len(rest), flow)
-                rest.append(item)
-                if ranked.rank and self._is_due(flow):
-                    due.append(item)
-        due.sort()
-        rest.sort(key=lambda item: (item[2].rank, item[0], item[1]))
+                item = (head.request.deadline_at_s, len(all_flows), flow)
+                all_flows.append(item)
+                if rank_queue.rank and self._has_credit(flow):
+                    with_credit.append(item)
+        with_credit.sort()
+        all_flows.sort(key=lambda item: (item[2].rank, item[0], item[1]))
         return [
-            *((flow, True) for _, _, flow in due),
-            *((flow, False) for _, _, flow in rest),
+            *((flow, True) for _, _, flow in with_credit),
+            *((flow, False) for _, _, flow in all_flows),
         ]
 
-    def _is_due(self, flow: queue.Flow) -> bool:
+    def _has_credit(self, flow: queue.Flow) -> bool:
         return any(
-            self.credits.is_due(
+            self.credits.has_credit(
                 (limits.region_key(region), _slot_pool(flow.service, region)),
                 flow.rank,
             )
-            for region in flow.blocks
+            for region in flow.shortages
         )
 
-    # Refusals and waits.
+    # Refusals and expected waits.
 
-    def _refusal(
+    def _refusal_on_arrival(
         self, flow: queue.Flow, request: core.CallerRequest, now: float
     ) -> result_codes.Refusal | None:
-        codes = {block.code for block in flow.blocks.values()}
+        codes = {shortage.code for shortage in flow.shortages.values()}
         if codes <= {Code.NO_BACKEND_SERVER}:
-            return self._refuse(flow, Code.NO_BACKEND_SERVER, math.inf)
+            return self._make_refusal(flow, Code.NO_BACKEND_SERVER, math.inf)
         return self._bounds_refusal(
             flow, len(request.body), request.deadline_at_s, now
         )
@@ -812,114 +867,120 @@
         deadline_at_s: float,
         now: float,
     ) -> result_codes.Refusal | None:
-        ranked = self.queues[flow.rank]
-        wait_s = self._wait(flow, now)
-        if ranked.is_full(work=flow.key.work, body_bytes=body_bytes):
-            return self._refuse(flow, Code.OVERLOADED, wait_s)
-        left_s = deadline_at_s - now - self._own_time(flow)
-        # An unknown wait refuses nothing; nor does one for an empty queue.
-        if flow.count and math.isfinite(wait_s) and wait_s > left_s:
-            return self._refuse(flow, Code.DEADLINE_UNREACHABLE, wait_s)
+        rank_queue = self.queues[flow.rank]
+        wait_s = self._flow_wait_s(flow, now)
+        if rank_queue.is_full(work=flow.key.work, body_bytes=body_bytes):
+            return self._make_refusal(flow, Code.OVERLOADED, wait_s)
+        remaining_s = deadline_at_s - now - self._service_margin_s(flow)
+        # Not refused if the wait is unknown or nothing of the flow is queued.
+        if flow.count and math.isfinite(wait_s) and wait_s > remaining_s:
+            return self._make_refusal(flow, Code.DEADLINE_UNREACHABLE, wait_s)
         return None
 
-    def _refuse(
+    def _make_refusal(
         self, flow: queue.Flow, code: result_codes.ResultCode, wait_s: float
     ) -> result_codes.Refusal:
-        cause = self._cause(flow)
-        if cause in _NAMED_CAUSES or (
-            cause is Code.REGION_LIMIT and code is Code.OVERLOADED
+        shortage_code = self._shortage_code(flow)
+        if shortage_code in _SPECIFIC_CODES or (
+            shortage_code is Code.REGION_LIMIT and code is Code.OVERLOADED
         ):
-            code = cause
+            code = shortage_code
         if not math.isfinite(wait_s) or wait_s <= 0.0:
             wait_s = const.RETRY_AFTER_UNKNOWN_S
         return result_codes.Refusal(
             code,
             f"{flow.rank.label} work {flow.key.work!r} finds no room:"
-            f" {cause.name.lower()}, {flow.count} queued",
+            f" {shortage_code.name.lower()}, {flow.count} queued",
             wait_s,
         )
 
-    def _cause(self, flow: queue.Flow) -> result_codes.ResultCode:
-        """Return what holds a flow up, in the region nearest to home.
+    def _shortage_code(self, flow: queue.Flow) -> result_codes.ResultCode:
+        """Return the code of the shortage in the region nearest to home.
 
-        A region that has no server or no share holds nothing up as long as
-        another one could serve.
+        Regions without a server or share are considered only if no other
+        region could serve.
         """
-        codes = [block.code for block in flow.blocks.values()]
+        codes = [shortage.code for shortage in flow.shortages.values()]
         for code in codes:
-            if code not in _ABSENCES:
+            if code not in _UNAVAILABLE_CODES:
                 return code
         if Code.NO_SHARE in codes:
             return Code.NO_SHARE
         return Code.NO_BACKEND_SERVER
 
-    def _wait(self, flow: queue.Flow, now: float) -> float:
-        domain = (flow.service, flow.key.home_region)
-        region, block = next(
+    def _flow_wait_s(self, flow: queue.Flow, now: float) -> float:
+        service_region = (flow.service, flow.key.home_region)
+        region, shortage = next(
             (
-                (region, block)
-                for region, block in flow.blocks.items()
-                if block.code not in _ABSENCES
+                (region, shortage)
+                for region, shortage in flow.shortages.items()
+                if shortage.code not in _UNAVAILABLE_CODES
             ),
             (flow.key.home_region, None),
         )
-        own = self.queues[flow.rank]
-        ahead = own.by_domain.get(domain, 0)
-        places = 0.0
+        rank_queue = self.queues[flow.rank]
+        queued_ahead = rank_queue.by_service_region.get(service_region, 0)
+        concurrency = 0.0
         linger_s = 0.0
-        if block is None:
+        if shortage is None:
             pass
-        elif block.code is Code.OVERLOADED:
-            places = float(self._slots_of(flow.service, region).usable)
-        elif block.code is Code.LINK_LIMIT:
-            places = self.ledger.usable(block.key) / max(1, block.needed)
+        elif shortage.code is Code.OVERLOADED:
+            concurrency = float(self._slots_of(flow.service, region).usable)
+        elif shortage.code is Code.LINK_LIMIT:
+            concurrency = self.ledger.usable(shortage.key) / max(
+                1, shortage.needed
+            )
             linger_s = quota_const.LINK_LINGER_S
         else:
-            places = float(self.ledger.usable(block.key))
-            if block.code is Code.WORK_LIMIT:
-                ahead = own.by_work.get(flow.key.work, 0)
-            if block.code is Code.SHIFT_CAP:
-                linger_s = self.ledger.linger_s(block.key) or 0.0
-        if places <= 0.0 and not self._is_backlogged(flow, now):
-            # Without own units only the rate of dispatches is known, and
-            # that shows what was asked for until requests have to queue.
+            concurrency = float(self.ledger.usable(shortage.key))
+            if shortage.code is Code.WORK_LIMIT:
+                queued_ahead = rank_queue.by_work.get(flow.key.work, 0)
+            if shortage.code is Code.SHIFT_CAP:
+                linger_s = self.ledger.linger_s(shortage.key) or 0.0
+        if concurrency <= 0.0 and not self._is_backlogged(flow, now):
+            # Without own units only the dispatch rate is known. It reflects
+            # the demand, not the capacity, until requests have to queue.
             return math.inf
         entry = self.catalogue.view.regions.get(region)
-        part = 0.0
+        guaranteed_fraction = 0.0
         if entry is not None and flow.rank:
-            part = scheduler.part_of(entry["guaranteed"], flow.rank)
+            guaranteed_fraction = scheduler.guaranteed_fraction(
+                entry["guaranteed"], flow.rank
+            )
         return self.estimator.wait_s(
-            domain=domain,
+            service_region=service_region,
             rank=flow.rank,
-            ahead=ahead,
-            part=part,
-            places=places,
+            queued_ahead=queued_ahead,
+            guaranteed_fraction=guaranteed_fraction,
+            concurrency=concurrency,
             linger_s=linger_s,
             now=now,
         )
 
     def _is_backlogged(self, flow: queue.Flow, now: float) -> bool:
         head = flow.head()
-        return head is not None and (now - head.since_s >= const.RATE_WINDOW_S)
+        return head is not None and (
+            now - head.queued_at_s >= const.RATE_WINDOW_S
+        )
 
-    def _own_time(self, flow: queue.Flow) -> float:
-        """Return the seconds before its deadline a request is needed by."""
+    def _service_margin_s(self, flow: queue.Flow) -> float:
+        """Return how many seconds before its deadline to send a request."""
         work = self.catalogue.view.works.get(flow.key.work)
         if work is None:
             return 0.0
-        # A service time near the deadline must not refuse all that queues.
-        bound_s = const.OWN_TIME_PART * work["deadline_s"]
-        return min(bound_s, self.estimator.own_s(flow.key.work))
+        # Service times near the deadline must not refuse all queued requests.
+        max_s = const.SERVICE_MARGIN_MAX_FRACTION * work["deadline_s"]
+        return min(max_s, self.estimator.high_service_time_s(flow.key.work))
 
-    def _want(self, flow: queue.Flow, now: float) -> None:
-        if now - flow.wanted_at_s < const.WANT_INTERVAL_S:
+    def _request_loans(self, flow: queue.Flow, now: float) -> None:
+        if now - flow.loans_requested_at_s < const.LOAN_REQUEST_INTERVAL_S:
             return
         head = flow.head()
         if head is None:
             return
-        flow.wanted_at_s = now
-        for region, block in flow.blocks.items():
-            if block.code is Code.NO_BACKEND_SERVER:
+        flow.loans_requested_at_s = now
+        for region, shortage in flow.shortages.items():
+            if shortage.code is Code.NO_BACKEND_SERVER:
                 continue
             self.borrower.request_bundles(
                 work=flow.key.work,
@@ -928,108 +989,120 @@
                 body_bytes=head.body_bytes,
                 count=flow.count,
             )
-            if block.code is Code.LINK_LIMIT and (
-                block.needed > self.ledger.usable(block.key)
+            if shortage.code is Code.LINK_LIMIT and (
+                shortage.needed > self.ledger.usable(shortage.key)
             ):
-                self.borrower.request_units(key=block.key, needed=block.needed)
+                self.borrower.request_units(
+                    key=shortage.key, needed=shortage.needed
+                )
 
-    def _start_tick(self) -> None:
-        if self._tick is None:
-            self._tick = self.timer.call_at(
-                when_s=self.timer.monotonic() + const.TICK_S,
-                callback=self._run_tick,
+    def _schedule_check(self) -> None:
+        if self._check_timer is None:
+            self._check_timer = self.timer.call_at(
+                when_s=self.timer.monotonic() + const.QUEUE_CHECK_INTERVAL_S,
+                callback=self._run_check,
             )
 
-    def _run_tick(self) -> None:
-        self._tick = None
+    def _run_check(self) -> None:
+        self._check_timer = None
         now = self.timer.monotonic()
-        for ranked in self.queues:
-            for waiting in ranked.take_expired(now, self._own_time):
-                late = waiting.request.deadline_at_s <= now
-                self._fail(
-                    waiting,
+        for rank_queue in self.queues:
+            for queued_request in rank_queue.take_expired(
+                now, self._service_margin_s
+            ):
+                late = queued_request.request.deadline_at_s <= now
+                self._refuse_queued(
+                    queued_request,
                     Code.DEADLINE_EXPIRED
                     if late
                     else Code.DEADLINE_UNREACHABLE,
                     now,
                 )
-            for flow in list(ranked.flows.values()):
-                self._check_absence(flow, now)
-        self._claim_link_bytes(now)
-        self.wake()
-        for ranked in self.queues:
-            for flow in ranked.flows.values():
-                self._want(flow, now)
-            self.metrics.queued.set({"rank": ranked.rank.label}, ranked.count)
-        if any(ranked.count for ranked in self.queues):
-            self._start_tick()
-
-    def _check_absence(self, flow: queue.Flow, now: float) -> None:
-        """Act on units that come by loan only and did not come in time."""
+            for flow in list(rank_queue.flows.values()):
+                self._check_loan_timeout(flow, now)
+        self._reserve_link_bytes(now)
+        self.dispatch_queued()
+        for rank_queue in self.queues:
+            for flow in rank_queue.flows.values():
+                self._request_loans(flow, now)
+            self.metrics.queued.set(
+                {"rank": rank_queue.rank.label}, rank_queue.count
+            )
+        if any(rank_queue.count for rank_queue in self.queues):
+            self._schedule_check()
+
+    def _check_loan_timeout(self, flow: queue.Flow, now: float) -> None:
+        """Handle a flow that depends on loans and received none in time."""
         head = flow.head()
-        if head is None or now - head.since_s < const.LOAN_WAIT_S:
+        if head is None or now - head.queued_at_s < const.LOAN_TIMEOUT_S:
             return
-        home = flow.blocks.get(flow.key.home_region)
-        if home is not None and home.code is Code.NO_SHARE:
-            self.silent.add((flow.service, flow.key.home_region))
-        if {block.code for block in flow.blocks.values()} <= _ABSENCES:
+        home_shortage = flow.shortages.get(flow.key.home_region)
+        if home_shortage is not None and home_shortage.code is Code.NO_SHARE:
+            self.loan_timeouts.add((flow.service, flow.key.home_region))
+        if {
+            shortage.code for shortage in flow.shortages.values()
+        } <= _UNAVAILABLE_CODES:
             regions = self.planner.regions_for(head.request)
-            if set(flow.blocks) >= set(regions):
+            if set(flow.shortages) >= set(regions):
                 self.queues[flow.rank].remove(head)
-                self._fail(head, self._cause(flow), now)
+                self._refuse_queued(head, self._shortage_code(flow), now)
 
-    def _fail(
+    def _refuse_queued(
         self,
-        waiting: queue.Waiting,
+        queued_request: queue.QueuedRequest,
         code: result_codes.ResultCode,
         now: float,
     ) -> None:
-        if not waiting.future.done():
-            flow = waiting.flow
-            refusal = self._refuse(flow, code, self._wait(flow, now))
-            waiting.future.set_result(Failure(refusal))
+        if not queued_request.future.done():
+            flow = queued_request.flow
+            refusal = self._make_refusal(
+                flow, code, self._flow_wait_s(flow, now)
+            )
+            queued_request.future.set_result(Failure(refusal))
 
     # Lending.
 
-    def _spare(
+    def _spare_bundles(
         self,
         service: str,
         region: str,
         rank: core.Rank,
         request: peers_model.GrantRequest,
     ) -> int:
-        """Return the bundles that own queued work leaves for a borrower."""
+        """Return how many bundles this host's queued requests leave free."""
         key = limits.region_key(region)
         pool = _slot_pool(service, region)
         slots = self._slots_of(service, region)
         spare = min(
             self.ledger.free(key)
-            - self._reserve(key, rank, self.ledger.usable),
+            - self._reserved_units(key, rank, self.ledger.usable),
             slots.free
-            - self._reserve(
+            - self._reserved_units(
                 pool, rank, lambda _: slots.usable, service=service
             ),
         )
         if request.home_region != region:
             key = limits.shift_key(region)
-            reserve = self._reserve(key, rank, self.ledger.usable)
+            reserve = self._reserved_units(key, rank, self.ledger.usable)
             spare = min(spare, self.ledger.free(key) - reserve)
-        own = sum(
+        own_queued = sum(
             flow.count
-            for ranked in self.queues[: rank + 1]
-            for flow in ranked.flows.values()
-            if region in flow.blocks
-            and flow.blocks[region].code is not Code.WORK_LIMIT
+            for rank_queue in self.queues[: rank + 1]
+            for flow in rank_queue.flows.values()
+            if region in flow.shortages
+            and flow.shortages[region].code is not Code.WORK_LIMIT
+        )
+        return math.ceil(
+            max(0, spare - own_queued) * (1 - const.LEND_KEEP_FRACTION)
         )
-        return math.ceil(max(0, spare - own) * (1 - const.LEND_KEEP_PART))
 
-    def _lend_one(
+    def _lend_bundle(
         self,
         view: catalogue_view.CatalogueView,
         work: catalogue_model.WorkEntry,
         request: peers_model.GrantRequest,
         loan_id: str,
-        number: int,
+        bundle_number: int,
         duration_s: float,
     ) -> quota_model.Bundle | None:
         servers = self.planner.servers_for(
@@ -1049,7 +1122,10 @@
         )
         until_s = self.timer.monotonic() + duration_s
         if self.ledger.lend(
-            bundle, loan_id=loan_id, bundle_number=number, until_s=until_s
+            bundle,
+            loan_id=loan_id,
+            bundle_number=bundle_number,
+            until_s=until_s,
         ):
             return bundle
         for key, amount in bundle.units:
@@ -1061,25 +1137,25 @@
         number = next(self.loan_ids)
         return f"{self.host.incarnation}/{borrower}/{number}"
 
-    def _loans_came(self) -> None:
-        if self._returning:
+    def _on_loans_arrived(self) -> None:
+        if self._returning_bundles:
             return
-        self.loans_seen += 1
-        self.wake()
+        self.loan_arrivals += 1
+        self.dispatch_queued()
 
 
 def _slot_pool(service: str, region: str) -> str:
     return f"slots:{service}@{region}"
 
 
-def _parts_of_key(
+def _guaranteed_parts_of(
     view: catalogue_view.CatalogueView, key: str
 ) -> catalogue_model.GuaranteedParts | None:
-    """Return the guaranteed parts of the region that a key belongs to."""
-    kind, _, rest = key.partition(":")
+    """Return the guaranteed fractions in the region of a quota key."""
+    kind, _, all_flows = key.partition(":")
     if kind == "slots":
-        rest = rest.rpartition("@")[2]
+        all_flows = all_flows.rpartition("@")[2]
     elif kind == "link":
-        rest = rest.rpartition(">")[2]
-    entry = view.regions.get(rest)
+        all_flows = all_flows.rpartition(">")[2]
+    entry = view.regions.get(all_flows)
     return entry["guaranteed"] if entry else None
--- a/src/samphirelug/components/admission/estimate.py
+++ b/src/samphirelug/components/admission/estimate.py
@@ -1,4 +1,4 @@
-"""Estimate how long a request would wait."""
+"""Estimate queueing delays and service times."""
 
 import math
 
@@ -7,7 +7,7 @@
 
 
 class DecayingRate:
-    """Measure events per second over the last RATE_WINDOW_S or so."""
+    """Measure events per second, averaged over about RATE_WINDOW_S."""
 
     __slots__ = ("at_s", "value")
 
@@ -16,78 +16,95 @@
         self.value = 0.0
 
     def add(self, now: float) -> None:
-        """Count one event."""
+        """Record one event."""
         self.value = self.per_second(now) * const.RATE_WINDOW_S + 1.0
         self.at_s = now
 
     def per_second(self, now: float) -> float:
-        """Return the rate."""
+        """Return the current rate."""
         age = (now - self.at_s) / const.RATE_WINDOW_S
         return self.value * math.exp(-age) / const.RATE_WINDOW_S
 
 
 class WaitEstimator:
-    """Keep recent service times and dispatch rates."""
+    """Estimate waits from recent service times and dispatch rates."""
 
     def __init__(self) -> None:
-        self.holds: dict[str, float] = {}
-        # Average service time of a work entry, and its average deviation.
-        self.own: dict[str, tuple[float, float]] = {}
+        self.service_times: dict[str, float] = {}
+        # Mean service time of each work entry, and its mean deviation.
+        self.work_service_times: dict[str, tuple[float, float]] = {}
+        # Dispatch rates by rank, for each service and home region.
         self.rates: dict[tuple[str, str], list[DecayingRate]] = {}
 
-    def observe_hold(self, service: str, work: str, seconds: float) -> None:
-        """Note how long a request held its units."""
-        known = self.holds.get(service, seconds)
-        self.holds[service] = known + const.HOLD_WEIGHT * (seconds - known)
-        mean, deviation = self.own.get(work, (seconds, 0.0))
-        error = seconds - mean
-        self.own[work] = (
-            mean + const.HOLD_WEIGHT * error,
-            deviation + const.HOLD_WEIGHT * (abs(error) - deviation),
+    def observe_service_time(
+        self, service: str, work: str, seconds: float
+    ) -> None:
+        """Record how long a request held its units."""
+        known = self.service_times.get(service, seconds)
+        self.service_times[service] = known + const.SERVICE_TIME_WEIGHT * (
+            seconds - known
+        )
+        mean, deviation = self.work_service_times.get(work, (seconds, 0.0))
+        difference = seconds - mean
+        self.work_service_times[work] = (
+            mean + const.SERVICE_TIME_WEIGHT * difference,
+            deviation
+            + const.SERVICE_TIME_WEIGHT * (abs(difference) - deviation),
         )
 
-    def hold_s(self, service: str) -> float:
-        """Return the recent time for which units are held."""
-        return max(0.001, self.holds.get(service, const.HOLD_DEFAULT_S))
+    def service_time_s(self, service: str) -> float:
+        """Return the recent mean service time of a backend service."""
+        return max(
+            0.001,
+            self.service_times.get(service, const.SERVICE_TIME_DEFAULT_S),
+        )
 
-    def own_s(self, work: str) -> float:
-        """Return the time that a request of a work entry may well take.
+    def high_service_time_s(self, work: str) -> float:
+        """Return the seconds within which most requests of a work entry end.
 
-        By the mean alone, half of the requests that are dispatched last
-        would end after their deadline. Returns 0.0 where nothing is known.
+        With the mean alone, half of the requests dispatched at the last
+        moment would end after their deadline. Returns 0.0 if no request has
+        ended yet.
         """
-        mean, deviation = self.own.get(work, (0.0, 0.0))
-        return mean + const.HOLD_DEVIATIONS * deviation
+        mean, deviation = self.work_service_times.get(work, (0.0, 0.0))
+        return mean + const.SERVICE_TIME_DEVIATIONS * deviation
 
     def count_dispatch(
-        self, domain: tuple[str, str], rank: core.Rank, now: float
+        self, service_region: tuple[str, str], rank: core.Rank, now: float
     ) -> None:
-        """Note a dispatch for callers of a service in a home region."""
-        rates = self.rates.get(domain)
+        """Record a dispatch for a service and home region."""
+        rates = self.rates.get(service_region)
         if rates is None:
-            rates = self.rates[domain] = [DecayingRate() for _ in core.Rank]
+            rates = self.rates[service_region] = [
+                DecayingRate() for _ in core.Rank
+            ]
         rates[rank].add(now)
 
     def wait_s(
         self,
         *,
-        domain: tuple[str, str],
+        service_region: tuple[str, str],
         rank: core.Rank,
-        ahead: int,
-        part: float,
-        places: float,
+        queued_ahead: int,
+        guaranteed_fraction: float,
+        concurrency: float,
         linger_s: float,
         now: float,
     ) -> float:
-        """Return seconds until a request after those ahead finds room.
+        """Return the expected wait behind queued requests, in seconds.
 
-        Places are the requests that the scarce units serve at a time. The
-        measured rate counts too, since it includes loans and other regions.
-        More urgent ranks leave what they do not take of the rate, and at
-        least the guaranteed part. Infinite where nothing was dispatched of
-        late and there are no places.
+        Concurrency is the number of requests that the scarce units can serve
+        at a time. The measured rate is considered as well, since it includes
+        loans and other regions. A rank gets the rate that more urgent ranks
+        leave, and at least its guaranteed fraction. Infinite if there were no
+        recent dispatches and concurrency is 0.
         """
-        rates = [rate.per_second(now) for rate in self.rates.get(domain, ())]
-        total = max(places / (self.hold_s(domain[0]) + linger_s), sum(rates))
-        rate = max(part * total, total - sum(rates[:rank]))
-        return ahead / rate if rate > 0.0 else math.inf
+        rates = [
+            rate.per_second(now) for rate in self.rates.get(service_region, ())
+        ]
+        total = max(
+            concurrency / (self.service_time_s(service_region[0]) + linger_s),
+            sum(rates),
+        )
+        rate = max(guaranteed_fraction * total, total - sum(rates[:rank]))
+        return queued_ahead / rate if rate > 0.0 else math.inf
--- a/src/samphirelug/components/admission/model.py
+++ b/src/samphirelug/components/admission/model.py
@@ -1,4 +1,4 @@
-"""Define permits, which admit a request to one backend server."""
+"""Define the permits that admit a request to a backend server."""
 
 import enum
 from typing import NamedTuple
@@ -7,25 +7,25 @@
 
 
 class PermitSource(enum.StrEnum):
-    """Name where the units of a permit come from."""
+    """Enumerate where the units of a permit come from."""
 
     OWN = "own"
     LOAN = "loan"
 
 
 class Permit(NamedTuple):
-    """Allow one dispatch to one backend server."""
+    """Permit one dispatch of a request to one backend server."""
 
-    # Identifies the hold in the ledger.
+    # Identifies the held units in the ledger, or the loan in the borrower.
     hold_id: int
     bundle: quota_model.Bundle
     source: PermitSource
 
 
 class PermitEnd(enum.StrEnum):
-    """Name how an attempt under a permit ended."""
+    """Enumerate how an attempt under a permit ended."""
 
-    # Whole answer received, or certainly not sent.
+    # The whole answer was received, or the request was certainly not sent.
     COMPLETE = "complete"
-    # The server may still be working until the request's deadline.
+    # The server may still process the request until its deadline.
     ORPHANED = "orphaned"
--- a/src/samphirelug/components/admission/ports.py
+++ b/src/samphirelug/components/admission/ports.py
@@ -1,4 +1,4 @@
-"""State what admission needs from the component that borrows units."""
+"""Define the interface through which admission borrows quota units."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,7 +7,7 @@
 
 
 class UnitBorrower(Protocol):
-    """Borrow bundles from peers; Borrower does."""
+    """Borrow quota units from peers; implemented by Borrower."""
 
     on_free: list[Callable[[], None]]
 
@@ -20,15 +20,15 @@
         body_bytes: int,
         count: int,
     ) -> None:
-        """Ask a peer for bundles unless a request is running."""
+        """Ask peers for bundles unless such a request is in progress."""
 
     def request_units(self, *, key: str, needed: int) -> None:
-        """Ask peers for plain units until this many are free."""
+        """Ask peers for units of one key until this many are free."""
 
     def take(
         self, *, work: str, region: str, home_region: str, body_bytes: int
     ) -> model.Permit | None:
-        """Return a borrowed bundle, if one is at hand."""
+        """Return a permit for a borrowed bundle, if one is available."""
 
     def end(
         self,
@@ -37,4 +37,4 @@
         ended: model.PermitEnd,
         deadline_at_s: float,
     ) -> None:
-        """Give back or keep a borrowed bundle after its use."""
+        """Return a borrowed bundle to its lender or keep it for reuse."""
--- a/src/samphirelug/components/admission/queue.py
+++ b/src/samphirelug/components/admission/queue.py
@@ -1,4 +1,4 @@
-"""Queue the requests of one rank by deadline, within bounds."""
+"""Provide a bounded queue of the requests of one rank, by deadline."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,39 +13,40 @@
 from samphirelug import core
 from samphirelug import result_codes
 
-Admission = Result[model.Permit, result_codes.Refusal]
+AdmissionResult = Result[model.Permit, result_codes.Refusal]
 
 
 class FlowKey(NamedTuple):
-    """Tell apart requests that need different units."""
+    """Identify requests that need the same kinds of units."""
 
     work: str
     home_region: str
-    # Bodies of like size need like amounts of link bytes.
+    # Bodies of similar size need similar amounts of link bytes.
     size_class: int
     excluded: frozenset[str]
 
 
-class Block(NamedTuple):
-    """Say what a flow lacked in a region when it was last tried."""
+class Shortage(NamedTuple):
+    """Describe what a flow lacked in a region at its last attempt."""
 
     code: result_codes.ResultCode
-    # Key of the ledger, or the slots of a service in a region.
+    # Quota key in the ledger, or slot pool of a service in a region. Empty if
+    # the shortage must be checked again at each attempt.
     key: str
-    # Free units of the key below which another try is futile.
+    # Another attempt cannot succeed with fewer free units of the key.
     needed: int
 
 
-class Waiting:
-    """Hold one queued request."""
+class QueuedRequest:
+    """Represent one request in a queue."""
 
     __slots__ = (
         "body_bytes",
         "flow",
         "future",
-        "queued",
+        "is_queued",
+        "queued_at_s",
         "request",
-        "since_s",
     )
 
     def __init__(
@@ -53,52 +54,53 @@
         *,
         request: core.CallerRequest,
         flow: "Flow",
-        future: asyncio.Future[Admission],
-        since_s: float,
+        future: asyncio.Future[AdmissionResult],
+        queued_at_s: float,
     ) -> None:
         self.request = request
         self.flow = flow
         self.future = future
-        self.since_s = since_s
+        self.queued_at_s = queued_at_s
         self.body_bytes = len(request.body)
-        self.queued = True
+        self.is_queued = True
 
 
 class Flow:
-    """Hold queued requests that need the same units, by deadline."""
+    """Group queued requests that need the same units, by deadline."""
 
     __slots__ = (
-        "blocks",
         "count",
         "heap",
         "key",
-        "loans_seen",
+        "loan_arrivals",
+        "loans_requested_at_s",
         "rank",
         "service",
-        "wanted_at_s",
+        "shortages",
     )
 
     def __init__(self, *, key: FlowKey, rank: core.Rank, service: str) -> None:
         self.key = key
         self.rank = rank
         self.service = service
-        self.heap: list[tuple[float, int, Waiting]] = []
+        self.heap: list[tuple[float, int, QueuedRequest]] = []
         self.count = 0
-        # By region, in the order of the last try.
-        self.blocks: dict[str, Block] = {}
-        self.loans_seen = -1
-        self.wanted_at_s = float("-inf")
-
-    def head(self) -> Waiting | None:
-        """Return the request with the earliest deadline."""
+        # By region, in the order of the last attempt.
+        self.shortages: dict[str, Shortage] = {}
+        # Value of the controller's counter at the last attempt.
+        self.loan_arrivals = -1
+        self.loans_requested_at_s = float("-inf")
+
+    def head(self) -> QueuedRequest | None:
+        """Return the queued request with the earliest deadline."""
         heap = self.heap
-        while heap and not heap[0][2].queued:
+        while heap and not heap[0][2].is_queued:
             heapq.heappop(heap)
         return heap[0][2] if heap else None
 
 
 class RankQueue:
-    """Hold the flows of one rank."""
+    """Queue the requests of one rank, grouped into flows."""
 
     def __init__(
         self,
@@ -114,17 +116,17 @@
         self.count = 0
         self.bytes = 0
         self.by_work: dict[str, int] = {}
-        # By service and home region, which share what frees up.
-        self.by_domain: dict[tuple[str, str], int] = {}
+        # By service and home region, whose flows compete for the same units.
+        self.by_service_region: dict[tuple[str, str], int] = {}
         self.sequence = itertools.count()
 
     def is_full(self, *, work: str, body_bytes: int) -> bool:
-        """Return whether another request would pass a bound."""
-        work_bound = self.max_requests * const.QUEUE_WORK_PART
+        """Return whether another request would exceed a limit."""
+        work_limit = self.max_requests * const.QUEUE_WORK_FRACTION
         return (
             self.count >= self.max_requests
             or self.bytes + body_bytes > self.max_bytes
-            or self.by_work.get(work, 0) >= work_bound
+            or self.by_work.get(work, 0) >= work_limit
         )
 
     def push(
@@ -132,40 +134,41 @@
         flow: Flow,
         *,
         request: core.CallerRequest,
-        future: asyncio.Future[Admission],
+        future: asyncio.Future[AdmissionResult],
         now: float,
-    ) -> Waiting:
-        """Queue a request; the caller has checked is_full."""
+    ) -> QueuedRequest:
+        """Add a request; is_full must have been checked before."""
         flow = self.flows.setdefault(flow.key, flow)
-        waiting = Waiting(
-            request=request, flow=flow, future=future, since_s=now
+        queued_request = QueuedRequest(
+            request=request, flow=flow, future=future, queued_at_s=now
         )
         heapq.heappush(
-            flow.heap, (request.deadline_at_s, next(self.sequence), waiting)
+            flow.heap,
+            (request.deadline_at_s, next(self.sequence), queued_request),
         )
-        self._count(waiting, 1)
-        return waiting
+        self._count(queued_request, 1)
+        return queued_request
 
-    def remove(self, waiting: Waiting) -> None:
-        """Take a request out of the queue; a second call has no effect."""
-        if not waiting.queued:
+    def remove(self, queued_request: QueuedRequest) -> None:
+        """Remove a request from the queue; a second call has no effect."""
+        if not queued_request.is_queued:
             return
-        waiting.queued = False
-        self._count(waiting, -1)
-        flow = waiting.flow
+        queued_request.is_queued = False
+        self._count(queued_request, -1)
+        flow = queued_request.flow
         if flow.count == 0:
             self.flows.pop(flow.key, None)
             flow.heap.clear()
         elif len(flow.heap) > 2 * flow.count + 16:
-            # Cancelled requests stay in the heap until then.
-            flow.heap = [item for item in flow.heap if item[2].queued]
+            # Cancelled requests stay in the heap until it is compacted here.
+            flow.heap = [item for item in flow.heap if item[2].is_queued]
             heapq.heapify(flow.heap)
 
     def take_expired(
         self, now: float, needed_s: Callable[[Flow], float]
-    ) -> list[Waiting]:
+    ) -> list[QueuedRequest]:
         """Remove and return the requests with less time left than needed."""
-        expired: list[Waiting] = []
+        expired: list[QueuedRequest] = []
         for flow in list(self.flows.values()):
             end_s = now + needed_s(flow)
             head = flow.head()
@@ -175,16 +178,18 @@
                 head = flow.head()
         return expired
 
-    def _count(self, waiting: Waiting, step: int) -> None:
-        flow = waiting.flow
+    def _count(self, queued_request: QueuedRequest, step: int) -> None:
+        flow = queued_request.flow
         flow.count += step
         self.count += step
-        self.bytes += step * waiting.body_bytes
+        self.bytes += step * queued_request.body_bytes
         work = flow.key.work
-        domain = (flow.service, flow.key.home_region)
+        service_region = (flow.service, flow.key.home_region)
         self.by_work[work] = self.by_work.get(work, 0) + step
-        self.by_domain[domain] = self.by_domain.get(domain, 0) + step
+        self.by_service_region[service_region] = (
+            self.by_service_region.get(service_region, 0) + step
+        )
         if not self.by_work[work]:
             del self.by_work[work]
-        if not self.by_domain[domain]:
-            del self.by_domain[domain]
+        if not self.by_service_region[service_region]:
+            del self.by_service_region[service_region]
--- a/src/samphirelug/components/admission/scheduler.py
+++ b/src/samphirelug/components/admission/scheduler.py
@@ -1,4 +1,8 @@
-"""Share units between ranks: the reserve upward, the credit downward."""
+"""Divide units between ranks.
+
+Units are reserved for more urgent ranks. Less urgent ranks earn credits, which
+guarantee them a fraction of the dispatches.
+"""
 
 from collections.abc import Iterable
 import heapq
@@ -9,8 +13,10 @@
 from samphirelug import core
 
 
-def part_of(parts: catalogue_model.GuaranteedParts, rank: core.Rank) -> float:
-    """Return the guaranteed fraction of capacity of a rank."""
+def guaranteed_fraction(
+    parts: catalogue_model.GuaranteedParts, rank: core.Rank
+) -> float:
+    """Return the fraction of the capacity that a rank is guaranteed."""
     if rank is core.Rank.URGENT:
         return parts["urgent"]
     if rank is core.Rank.INTERACTIVE:
@@ -18,27 +24,27 @@
     return parts["export"]
 
 
-def reserve_above(
+def reserved_for_more_urgent(
     *,
     rank: core.Rank,
     usable: int,
     used: list[int],
     parts: catalogue_model.GuaranteedParts,
-    present: frozenset[core.Rank],
+    configured: frozenset[core.Rank],
 ) -> int:
-    """Return the units that a rank must leave free for more urgent ones.
+    """Return the units that a rank must leave free for more urgent ranks.
 
-    Ranks without any work entry reserve nothing.
+    Only configured ranks, those with a work entry, reserve units.
     """
     return sum(
-        max(0, int(part_of(parts, other) * usable) - used[other])
-        for other in present
+        max(0, int(guaranteed_fraction(parts, other) * usable) - used[other])
+        for other in configured
         if other < rank
     )
 
 
 class RankUsage:
-    """Count units in use by pool and rank, lingering ones included."""
+    """Count units in use or lingering, by pool and rank."""
 
     def __init__(self) -> None:
         self.pools: dict[str, list[int]] = {}
@@ -46,7 +52,7 @@
         self.sequence = itertools.count()
 
     def used(self, pool: str, now: float) -> list[int]:
-        """Return the units in use by Rank value."""
+        """Return the units in use, indexed by Rank value."""
         ends = self.ends
         while ends and ends[0][0] <= now:
             _, _, ended, rank, amount = heapq.heappop(ends)
@@ -54,7 +60,7 @@
         return self.pools.get(pool) or [0] * len(core.Rank)
 
     def add(self, pool: str, rank: core.Rank, amount: int) -> None:
-        """Count units as used, or as no longer used where negative."""
+        """Add to the units in use; a negative amount subtracts."""
         ranks = self.pools.get(pool)
         if ranks is None:
             ranks = self.pools[pool] = [0] * len(core.Rank)
@@ -65,39 +71,39 @@
     def end_at(
         self, pool: str, rank: core.Rank, amount: int, when_s: float
     ) -> None:
-        """Count units as used until a time."""
+        """Schedule the time at which units cease to count as used."""
         heapq.heappush(
             self.ends, (when_s, next(self.sequence), pool, rank, amount)
         )
 
 
-class CreditBook:
-    """Earn and spend the credit of less urgent ranks, by pool."""
+class CreditAccounts:
+    """Track the dispatch credits of less urgent ranks, by pool."""
 
     def __init__(self) -> None:
         self.credits: dict[tuple[str, core.Rank], float] = {}
 
-    def earn(self, pool: str, rank: core.Rank, part: float) -> None:
-        """Add what a rank with queued work earns at a dispatch."""
+    def earn(self, pool: str, rank: core.Rank, fraction: float) -> None:
+        """Add what a rank with queued requests earns at a dispatch."""
         key = (pool, rank)
-        earned = self.credits.get(key, 0.0) + part
+        earned = self.credits.get(key, 0.0) + fraction
         self.credits[key] = min(const.CREDIT_MAX, earned)
 
-    def is_due(self, pools: Iterable[str], rank: core.Rank) -> bool:
-        """Return whether a rank has a whole credit in one of the pools."""
-        # Tenths do not sum to exactly one.
+    def has_credit(self, pools: Iterable[str], rank: core.Rank) -> bool:
+        """Return whether a rank has a full credit in any of the pools."""
+        # Ten times 0.1 sums to slightly less than 1.0 in floating point.
         return any(
             self.credits.get((pool, rank), 0.0) >= 1.0 - 1e-9 for pool in pools
         )
 
     def spend(self, pools: Iterable[str], rank: core.Rank) -> None:
-        """Take one credit from each pool that a dispatch used."""
+        """Subtract one credit in each pool that a dispatch used."""
         for pool in pools:
             key = (pool, rank)
             if key in self.credits:
                 self.credits[key] = max(0.0, self.credits[key] - 1.0)
 
-    def forget(self, rank: core.Rank) -> None:
-        """Drop the credit of a rank that has no queued work."""
+    def reset(self, rank: core.Rank) -> None:
+        """Remove the credits of a rank that has no queued requests."""
         for key in [key for key in self.credits if key[1] is rank]:
             del self.credits[key]
--- a/src/samphirelug/components/steering/lookup.py
+++ b/src/samphirelug/components/steering/lookup.py
@@ -271,7 +271,10 @@
         if room.service != service or region is None:
             continue
         reserved = sum(
-            int(scheduler.part_of(region["guaranteed"], other) * room.held)
+            int(
+                scheduler.guaranteed_fraction(region["guaranteed"], other)
+                * room.held
+            )
             for other in core.Rank
             if other < rank
         )
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""Test admission with the real ledger on a manual clock."""
+"""Test admission with the real quota ledger and a manual clock."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -18,7 +18,7 @@
 from samphirelug import core
 from samphirelug import result_codes
 from standins import builders
-from standins.simulation import admission as harness
+from standins.simulation import admission as simulation
 from standins.simulation import steering as fakes
 
 Code = result_codes.ResultCode
@@ -29,28 +29,28 @@
     asyncio.run(test)
 
 
-def code_of(outcome: harness.Outcome | None) -> Code | None:
+def code_of(outcome: simulation.Outcome | None) -> Code | None:
     return outcome.failure().code if isinstance(outcome, Failure) else None
 
 
 def test_interactive_work_alone_uses_nine_tenths_of_the_region() -> None:
-    """Guards against reserves that leave capacity idle."""
+    """Guards against units reserved for less urgent ranks that are idle."""
 
     async def test() -> None:
-        await harness.Harness().fill(11)
+        await simulation.Harness().fill(11)
 
     run(test())
 
 
 def test_reserve_lets_urgent_work_in_during_a_flood_of_exports() -> None:
-    """Guards against a flood that takes the last free unit."""
+    """Guards against less urgent work that takes the last free units."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        flood = [rig.submit(rig.request(EXPORT)) for _ in range(50)]
-        await harness.settle()
+        harness = simulation.Harness()
+        flood = [harness.submit(harness.request(EXPORT)) for _ in range(50)]
+        await simulation.settle()
         assert sum(task.done() for task in flood) == 10
-        await rig.fill(1, URGENT)
+        await harness.fill(1, URGENT)
         for task in flood:
             task.cancel()
 
@@ -58,56 +58,61 @@
 
 
 def test_released_unit_goes_to_the_most_urgent_earliest_deadline() -> None:
-    """Guards against first-come order in the queue."""
+    """Guards against first-come-first-served order in the queue."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        filled = await rig.fill(12, URGENT)
-        late = rig.submit(rig.request(URGENT, deadline_s=9.0))
-        lower = rig.submit(rig.request(EXPORT, deadline_s=1.0))
-        soon = rig.submit(rig.request(URGENT, deadline_s=3.0))
-        await harness.settle()
-        rig.finish(*filled[0])
-        await harness.settle()
-        assert (soon.done(), late.done(), lower.done()) == (True, False, False)
-        late.cancel()
-        lower.cancel()
+        harness = simulation.Harness()
+        admitted = await harness.fill(12, URGENT)
+        later = harness.submit(harness.request(URGENT, deadline_s=9.0))
+        less_urgent = harness.submit(harness.request(EXPORT, deadline_s=1.0))
+        sooner = harness.submit(harness.request(URGENT, deadline_s=3.0))
+        await simulation.settle()
+        harness.finish(*admitted[0])
+        await simulation.settle()
+        assert (sooner.done(), later.done(), less_urgent.done()) == (
+            True,
+            False,
+            False,
+        )
+        later.cancel()
+        less_urgent.cancel()
 
     run(test())
 
 
 def test_cancelled_caller_leaves_the_queue_and_gives_back_a_permit() -> None:
-    """Guards against units that leak when a caller hangs up."""
+    """Guards against leaked units when a caller closes its connection."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        filled = await rig.fill(12, URGENT)
+        harness = simulation.Harness()
+        admitted = await harness.fill(12, URGENT)
         first, second = (
-            rig.submit(rig.request(URGENT, deadline_s=5.0 + number))
+            harness.submit(harness.request(URGENT, deadline_s=5.0 + number))
             for number in range(2)
         )
-        await harness.settle()
+        await simulation.settle()
         first.cancel()
-        await harness.settle()
-        assert rig.admission.queued() == (1, 0, 0)
-        # The permit is given and the task cancelled in the same step.
-        rig.finish(*filled[0])
+        await simulation.settle()
+        assert harness.admission.queued() == (1, 0, 0)
+        # The permit is granted and the task cancelled in the same event loop
+        # step.
+        harness.finish(*admitted[0])
         second.cancel()
-        await harness.settle()
-        assert rig.ledger.free("region:tallinn") == 1
-        assert rig.admission.queued() == (0, 0, 0)
+        await simulation.settle()
+        assert harness.ledger.free("region:tallinn") == 1
+        assert harness.admission.queued() == (0, 0, 0)
 
     run(test())
 
 
 def test_deadline_expires_promptly_in_the_queue() -> None:
-    """Guards against callers that wait beyond their deadline."""
+    """Guards against requests that stay queued beyond their deadline."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        await rig.fill(12, URGENT)
-        task = rig.submit(rig.request(URGENT, deadline_s=0.3))
-        await rig.advance(0.34)
+        harness = simulation.Harness()
+        await harness.fill(12, URGENT)
+        task = harness.submit(harness.request(URGENT, deadline_s=0.3))
+        await harness.advance(0.34)
         assert code_of(task.result()) is Code.DEADLINE_EXPIRED
 
     run(test())
@@ -117,77 +122,80 @@
     """Guards against head-of-line blocking by a work entry's limit."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        rig.limits["work:case-status@tallinn"] = rig.limits[
+        harness = simulation.Harness()
+        harness.limits["work:case-status@tallinn"] = harness.limits[
             "work:case-status@tallinn"
         ]._replace(limit=1)
-        rig.ledger.set_limits(rig.limits)
-        rig.seat("region/tallinn")
-        work = rig.catalogue.view.works["case-status"]
+        harness.ledger.set_limits(harness.limits)
+        harness.seat("region/tallinn")
+        work = harness.catalogue.view.works["case-status"]
         other = work.copy()
         other["name"] = "case-lookup"
-        rig.catalogue.view.works["case-lookup"] = other
+        harness.catalogue.view.works["case-lookup"] = other
         key = "work:case-lookup@tallinn"
-        rig.limits[key] = rig.limits["work:case-export@tallinn"]._replace(
-            key=key
+        harness.limits[key] = harness.limits[
+            "work:case-export@tallinn"
+        ]._replace(key=key)
+        harness.ledger.set_limits(harness.limits)
+        harness.seat("region/tallinn")
+        await harness.fill(1)
+        over_limit = harness.submit(harness.request(INTERACTIVE))
+        other_request = harness.submit(
+            harness.request(INTERACTIVE, work="case-lookup")
         )
-        rig.ledger.set_limits(rig.limits)
-        rig.seat("region/tallinn")
-        await rig.fill(1)
-        blocked = rig.submit(rig.request(INTERACTIVE))
-        passing = rig.submit(rig.request(INTERACTIVE, work="case-lookup"))
-        await harness.settle()
-        assert (blocked.done(), passing.done()) == (False, True)
-        blocked.cancel()
+        await simulation.settle()
+        assert (over_limit.done(), other_request.done()) == (False, True)
+        over_limit.cancel()
 
     run(test())
 
 
 def test_full_home_region_queues_rather_than_spills() -> None:
-    """Guards against shifting traffic that would soon find room at home."""
+    """Guards against shifting requests that could soon be served at home."""
 
     async def test() -> None:
-        rig = harness.Harness(seats=("tallinn", "tartu"))
-        filled = await rig.fill(12, URGENT)
-        task = rig.submit(rig.request(URGENT))
-        await rig.advance(0.1)
-        rig.finish(*filled[0])
-        await harness.settle()
+        harness = simulation.Harness(seats=("tallinn", "tartu"))
+        admitted = await harness.fill(12, URGENT)
+        task = harness.submit(harness.request(URGENT))
+        await harness.advance(0.1)
+        harness.finish(*admitted[0])
+        await simulation.settle()
         assert task.result().unwrap().bundle.region == "tallinn"
-        waiting = rig.submit(rig.request(URGENT))
-        await rig.advance(0.6)
-        assert waiting.result().unwrap().bundle.region == "tartu"
+        queued = harness.submit(harness.request(URGENT))
+        await harness.advance(0.6)
+        assert queued.result().unwrap().bundle.region == "tartu"
 
     run(test())
 
 
 def test_shift_cap_holds_when_every_home_server_is_dead() -> None:
-    """Guards against a dead region's load passing the cap elsewhere."""
+    """Guards against exceeding the shift cap with a failed region's load."""
 
     async def test() -> None:
-        rig = harness.Harness(seats=("tallinn", "tartu"))
-        rig.kill("tallinn")
-        shifted = [
-            rig.submit(rig.request(EXPORT, deadline_s=2.0)) for _ in range(30)
+        harness = simulation.Harness(seats=("tallinn", "tartu"))
+        harness.kill("tallinn")
+        tasks = [
+            harness.submit(harness.request(EXPORT, deadline_s=2.0))
+            for _ in range(30)
         ]
-        await harness.settle()
-        # A tenth of the cap stays for each of the two higher ranks.
+        await simulation.settle()
+        # A tenth of the cap is reserved for each of the more urgent ranks.
         admitted = [
             task
-            for task in shifted
+            for task in tasks
             if task.done() and isinstance(task.result(), Success)
         ]
         assert len(admitted) == 8
-        await rig.fill(2, URGENT)
-        await rig.advance(2.1)
-        codes = [code_of(task.result()) for task in shifted]
+        await harness.fill(2, URGENT)
+        await harness.advance(2.1)
+        codes = [code_of(task.result()) for task in tasks]
         assert codes.count(Code.SHIFT_CAP) == 22
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("prepare", "expected"),
+    ("condition", "expected"),
     [
         ("no_servers", Code.NO_BACKEND_SERVER),
         ("no_seat", Code.NO_SHARE),
@@ -196,31 +204,31 @@
         ("unreachable", Code.DEADLINE_UNREACHABLE),
     ],
 )
-def test_refusal_names_the_cause(prepare: str, expected: Code) -> None:
-    """Guards against refusals that send the operator the wrong way."""
+def test_refusal_names_the_cause(condition: str, expected: Code) -> None:
+    """Guards against refusals that mislead the operator about the cause."""
 
     async def test() -> None:
-        seats = () if prepare == "no_seat" else ("tallinn",)
-        rig = harness.Harness(seats=seats, links=False)
-        request = rig.request(URGENT)
-        if prepare == "no_servers":
+        seats = () if condition == "no_seat" else ("tallinn",)
+        harness = simulation.Harness(seats=seats, links=False)
+        request = harness.request(URGENT)
+        if condition == "no_servers":
             for region in ("tallinn", "tartu", "parnu"):
-                rig.kill(region)
-        if prepare == "late":
-            request = request._replace(deadline_at_s=rig.timer.now_s)
+                harness.kill(region)
+        if condition == "late":
+            request = request._replace(deadline_at_s=harness.timer.now_s)
         queued = []
-        if prepare in ("full", "unreachable"):
-            await rig.fill(12, URGENT)
-            count = 256 if prepare == "full" else 60
+        if condition in ("full", "unreachable"):
+            await harness.fill(12, URGENT)
+            count = 256 if condition == "full" else 60
             queued = [
-                rig.submit(rig.request(URGENT, deadline_s=30.0))
+                harness.submit(harness.request(URGENT, deadline_s=30.0))
                 for _ in range(count)
             ]
-            await harness.settle()
-        if prepare == "unreachable":
-            request = rig.request(URGENT, deadline_s=0.1)
-        task = rig.submit(request)
-        await rig.advance(0.8)
+            await simulation.settle()
+        if condition == "unreachable":
+            request = harness.request(URGENT, deadline_s=0.1)
+        task = harness.submit(request)
+        await harness.advance(0.8)
         outcome = task.result()
         assert code_of(outcome) is expected
         if queued:
@@ -232,53 +240,58 @@
 
 
 def test_bundle_of_a_leaving_server_is_given_back_unused() -> None:
-    """Guards against work for leaving servers by loan, and a busy loop."""
+    """Guards against loans for leaving servers, and an endless loop."""
 
     async def test() -> None:
-        rig = harness.Harness(seats=())
-        server = next(iter(rig.catalogue.view.servers))
-        rig.health.apply_sighting(peers_model.Sighting(server, "", True, 0))
+        harness = simulation.Harness(seats=())
+        server = next(iter(harness.catalogue.view.servers))
+        harness.health.apply_sighting(
+            peers_model.Sighting(server, "", True, 0)
+        )
         bundle = quota_model.Bundle("tallinn", server, ())
         permit = model.Permit(1, bundle, model.PermitSource.LOAN)
-        rig.loans.permits.append(permit)
-        task = rig.submit(rig.request())
-        await harness.settle()
+        harness.loans.permits.append(permit)
+        task = harness.submit(harness.request())
+        await simulation.settle()
         assert not task.done()
-        assert rig.loans.ended
-        assert rig.loans.wanted
+        assert harness.loans.ended
+        assert harness.loans.wanted
         task.cancel()
 
     run(test())
 
 
 def test_lender_keeps_the_reserve_of_more_urgent_ranks() -> None:
-    """Guards against lending the units kept for urgent work."""
+    """Guards against lending units that are reserved for urgent work."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        ask = peers_model.GrantRequest(
+        harness = simulation.Harness()
+        grant_request = peers_model.GrantRequest(
             "case-export", "tallinn", 64, "tartu", "tartu", 0
         )
-        grant = rig.admission.grant(ask, borrower="eh2")
-        # Of 12 units 2 are reserved; shift units leave 8, half is lent.
+        grant = harness.admission.grant(grant_request, borrower="eh2")
+        # 2 of 12 region units are reserved. The shift cap leaves 8 units, of
+        # which half are lent.
         assert len(grant.bundles) == 4
-        await rig.fill(7)
-        assert not rig.admission.grant(ask, borrower="eh2").bundles
+        await harness.fill(7)
+        assert not harness.admission.grant(
+            grant_request, borrower="eh2"
+        ).bundles
 
     run(test())
 
 
 class LenderMesh(fakes.FakeMesh):
-    """Reach one lender, which may be made unreachable."""
+    """Connect to one lender, which a test can make unreachable."""
 
-    def __init__(self, lender: harness.Harness) -> None:
+    def __init__(self, lender: simulation.Harness) -> None:
         super().__init__(timer=lender.timer)
         self.lender = lender
         self.reachable = True
 
     def live_peers(self) -> tuple[peers_model.PeerView, ...]:
-        """Return the lender with its headroom."""
-        beat = peers_model.Heartbeat(
+        """Return the lender with its current headroom."""
+        heartbeat = peers_model.Heartbeat(
             host=builders.make_host("eh2"),
             state=core.EntryHostState.SERVING,
             clock_ms=0,
@@ -289,12 +302,12 @@
             sightings=(),
         )
         now = self.timer.monotonic()
-        return (peers_model.PeerView(beat, now, True),)
+        return (peers_model.PeerView(heartbeat, now, True),)
 
     async def request(
         self, host: str, message: peers_model.Message, *, timeout_s: float
     ) -> Result[peers_model.Message, result_codes.Refusal]:
-        """Ask the lender's admission."""
+        """Pass a request for bundles to the lender's admission."""
         if not self.reachable or not isinstance(
             message, peers_model.GrantRequest
         ):
@@ -304,42 +317,42 @@
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_host_without_units_borrows_or_refuses(reachable: bool) -> None:
-    """Guards against lent units that are not used, or waited for vainly."""
+    """Guards against unused loans, and endless waits for a loan."""
 
     async def test() -> None:
-        lender = harness.Harness()
+        lender = simulation.Harness()
         mesh = LenderMesh(lender)
         mesh.reachable = reachable
-        rig = harness.Harness(seats=(), timer=lender.timer, mesh=mesh)
-        requests = [rig.request(URGENT) for _ in range(8)]
-        tasks = [rig.submit(request) for request in requests]
-        await rig.advance(0.5)
+        harness = simulation.Harness(seats=(), timer=lender.timer, mesh=mesh)
+        requests = [harness.request(URGENT) for _ in range(8)]
+        tasks = [harness.submit(request) for request in requests]
+        await harness.advance(0.5)
         assert all(task.done() for task in tasks)
         if not reachable:
             codes = {code_of(task.result()) for task in tasks}
             assert codes == {Code.NO_SHARE}
             return
-        # The lender and the borrower together never pass the limit.
+        # The lender and the borrower together never exceed the limit.
         assert lender.ledger.free("region:tallinn") == 12 - 8
         for request, task in zip(requests, tasks, strict=True):
-            rig.finish(request, task.result().unwrap())
-        await harness.settle()
-        again = rig.submit(rig.request(URGENT))
-        await harness.settle()
-        assert isinstance(again.result(), Success)
+            harness.finish(request, task.result().unwrap())
+        await simulation.settle()
+        retry = harness.submit(harness.request(URGENT))
+        await simulation.settle()
+        assert isinstance(retry.result(), Success)
 
     run(test())
 
 
 def test_finish_twice_frees_units_once() -> None:
-    """Guards against units that come back twice."""
+    """Guards against releasing the same units twice."""
 
     async def test() -> None:
-        rig = harness.Harness()
-        [(request, permit)] = await rig.fill(1)
-        rig.finish(request, permit)
-        rig.finish(request, permit)
-        assert rig.ledger.free("region:tallinn") == 12
+        harness = simulation.Harness()
+        [(request, permit)] = await harness.fill(1)
+        harness.finish(request, permit)
+        harness.finish(request, permit)
+        assert harness.ledger.free("region:tallinn") == 12
 
     run(test())
 
@@ -357,31 +370,33 @@
 def test_every_schedule_ends_with_all_units_free(
     steps: list[tuple[str, int]],
 ) -> None:
-    """Guards against leaks and against requests left queued for good."""
+    """Guards against leaked units and requests that stay queued."""
 
     async def test() -> None:
-        rig = harness.Harness(seats=("tallinn", "tartu"))
-        tasks: list[asyncio.Task[harness.Outcome]] = []
-        requests: dict[asyncio.Task[harness.Outcome], core.CallerRequest] = {}
-        finished: set[asyncio.Task[harness.Outcome]] = set()
-
-        def finish(task: asyncio.Task[harness.Outcome]) -> None:
+        harness = simulation.Harness(seats=("tallinn", "tartu"))
+        tasks: list[asyncio.Task[simulation.Outcome]] = []
+        requests: dict[
+            asyncio.Task[simulation.Outcome], core.CallerRequest
+        ] = {}
+        finished: set[asyncio.Task[simulation.Outcome]] = set()
+
+        def finish(task: asyncio.Task[simulation.Outcome]) -> None:
             if task in finished or not task.done() or task.cancelled():
                 return
             finished.add(task)
             outcome = task.result()
             if isinstance(outcome, Success):
-                rig.finish(requests[task], outcome.unwrap())
+                harness.finish(requests[task], outcome.unwrap())
 
         for kind, number in steps:
             if kind == "submit":
                 for _ in range(1 + number % 9):
-                    request = rig.request(core.Rank(number % 3))
-                    task = rig.submit(request)
+                    request = harness.request(core.Rank(number % 3))
+                    task = harness.submit(request)
                     requests[task] = request
                     tasks.append(task)
             elif kind == "wait":
-                await rig.advance(number / 100)
+                await harness.advance(number / 100)
             elif tasks:
                 task = tasks[number % len(tasks)]
                 if kind == "cancel":
@@ -389,14 +404,14 @@
                 else:
                     finish(task)
             await asyncio.sleep(0)
-            assert rig.ledger.free("region:tallinn") >= 0
+            assert harness.ledger.free("region:tallinn") >= 0
         for _ in range(12):
-            await rig.advance(1.0, step_s=0.5)
+            await harness.advance(1.0, step_s=0.5)
             for task in tasks:
                 finish(task)
-        await rig.advance(12.0, step_s=0.5)
+        await harness.advance(12.0, step_s=0.5)
         assert all(task.done() for task in tasks)
-        assert rig.admission.queued() == (0, 0, 0)
-        assert rig.ledger.taken_keys() == ()
+        assert harness.admission.queued() == (0, 0, 0)
+        assert harness.ledger.taken_keys() == ()
 
     run(test())
