--- a/src/samphirelug/components/execution/__init__.py
+++ b/src/samphirelug/components/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Run requests at most once and retry within a budget."""
+"""Execute requests at most once and limit their retries."""
--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -1,4 +1,4 @@
-"""Run requests on backend servers, at most once where that is asked."""
+"""Run requests on backend servers, at most once under a run token."""
 
 import asyncio
 import logging
@@ -30,7 +30,7 @@
 
 LOG = logging.getLogger(__name__)
 
-_CODE_OF_FAILURE = {
+_CODE_BY_FAILURE = {
     backend_model.FailureKind.NOT_SENT: ResultCode.BACKEND_UNREACHABLE,
     backend_model.FailureKind.REFUSED: ResultCode.BACKEND_REFUSED,
     backend_model.FailureKind.LEAVING: ResultCode.BACKEND_REFUSED,
@@ -43,12 +43,13 @@
 
 
 class Run:
-    """Track one piece of work that outlives its callers."""
+    """Track the run of a request, which can outlive its callers."""
 
     def __init__(self) -> None:
         self.task: asyncio.Task[model.Outcome] | None = None
-        self.waiting = 0
-        # Set when the work may have reached a server.
+        # Calls that are waiting for the outcome.
+        self.waiting_calls = 0
+        # True while the request may have reached a backend server.
         self.dispatched = False
 
 
@@ -82,21 +83,21 @@
         self.metrics = metrics
         self.host = host
         self.budget = retry_budget.RetryBudget(now=timer.monotonic())
-        # Work under a run token, by token id.
+        # Runs under a run token that have not ended, by token id.
         self.runs: dict[str, Run] = {}
         mesh.set_handler(peer_model.OutcomeQuery, self.on_query)
         mesh.set_handler(peer_model.OutcomeHandover, self.on_handover)
 
     async def run(self, request: core.CallerRequest) -> model.Outcome:
-        """Return the answer to a request, or a truthful refusal.
+        """Return the answer to a request, or the refusal.
 
-        Cancelling the call means that the caller is gone. Work under a run
-        token that may have reached a server goes on, and its outcome is
-        kept; other work is cancelled.
+        The call is cancelled when the caller disconnects. Work under a run
+        token that may have reached a server then goes on, and its outcome
+        is kept; other work is cancelled.
         """
-        # A token is obeyed whatever this host's catalogue says of the work:
-        # the catalogue of the host that issued it may differ, and a refusal
-        # of a repeat may not hide what became of the first request.
+        # A token applies even if this host's catalogue does not require one
+        # for the work: the catalogue of the issuing host may differ, and
+        # refusing a repeated request must not hide the outcome of the first.
         if request.run_token is not None:
             return await self._run_once(request, request.run_token)
         found = self._find_work(request.work)
@@ -105,54 +106,58 @@
         work = found.unwrap()
         if not work["repeatable"]:
             return _refuse(
-                ResultCode.TOKEN_MISSING, "the work needs a run token"
+                ResultCode.TOKEN_MISSING, "this work requires a run token"
             )
         return await self._run_with_retries(
             request, work, repeatable=True, run=Run()
         )
 
     def is_unused(self, token: str) -> bool:
-        """Return whether a refusal may say that the token was not run.
+        """Return whether the work of a token was certainly not run.
 
-        False also where this host cannot know.
+        False if this host cannot know. Only if true may a refusal report
+        "not run".
         """
-        read = self.issuer.decode(token)
-        if isinstance(read, Failure):
+        decoded = self.issuer.decode(token)
+        if isinstance(decoded, Failure):
             return True
-        content = read.unwrap()
-        if content.incarnation != self.host.incarnation:
+        run_token = decoded.unwrap()
+        if run_token.incarnation != self.host.incarnation:
             return False
-        return self.outcomes.is_unused(content)
+        return self.outcomes.is_unused(run_token)
 
     async def outcome(self, token: str) -> model.Outcome:
-        """Return what became of a run token.
+        """Return the outcome of a run token.
 
-        A token that has not started is revoked, so that "not run" stays
-        true.
+        A token that is not in use yet is revoked, so that the reported
+        "not run" stays true.
         """
-        read = self.issuer.decode(token)
-        if isinstance(read, Failure):
-            return Failure(read.failure())
-        content = read.unwrap()
-        if content.incarnation != self.host.incarnation:
-            return await self._ask_named_host(token, content)
-        return outcomes_module.outcome_of(self.outcomes.revoke(content))
-
-    async def drained(self) -> None:
-        """Return when no work under a run token is running."""
+        decoded = self.issuer.decode(token)
+        if isinstance(decoded, Failure):
+            return Failure(decoded.failure())
+        run_token = decoded.unwrap()
+        if run_token.incarnation != self.host.incarnation:
+            return await self._query_token_host(token, run_token)
+        return outcomes_module.outcome_from_record(
+            self.outcomes.revoke(run_token)
+        )
+
+    async def wait_for_runs(self) -> None:
+        """Wait until no work under a run token is running."""
         while self.runs:
             tasks = [run.task for run in self.runs.values() if run.task]
             await asyncio.wait(tasks)
 
     async def hand_over(self) -> int:
-        """Pass all outcomes to the live peers; return how many took them.
+        """Send all outcomes to the live peers; return how many accepted them.
 
-        No token starts after this call.
+        No token of this host can be claimed after this call.
         """
         records = self.outcomes.records()
-        # Read after the book has closed, so that no token that the book
-        # forgot before closing counts as valid.
-        messages = handover.messages_for(
+        # Read the clock only after the table is closed. With an earlier time,
+        # peers could report a token as unused whose entry the table had
+        # removed before it closed.
+        messages = handover.build_messages(
             incarnation=self.host.incarnation,
             records=records,
             clock_ms=self.outcomes.clock_ms(),
@@ -162,30 +167,32 @@
             for view in self.mesh.live_peers()
             if view.connected
         ]
-        taken = await asyncio.gather(
-            *(self._hand_over_to(peer, messages) for peer in peers)
+        accepted = await asyncio.gather(
+            *(self._hand_over_to_peer(peer, messages) for peer in peers)
         )
-        return sum(taken)
+        return sum(accepted)
 
     async def on_query(
         self,
         sender: str,  # noqa: ARG002
         message: peer_model.Message,
     ) -> peer_model.Message | None:
-        """Answer another host's question about a run token."""
+        """Answer another host's query for the outcome of a run token."""
         assert isinstance(message, peer_model.OutcomeQuery)
-        read = self.issuer.decode(message.token)
-        if isinstance(read, Failure):
+        decoded = self.issuer.decode(message.token)
+        if isinstance(decoded, Failure):
             return None
-        return peer_model.OutcomeReply(self.outcomes.revoke(read.unwrap()))
+        return peer_model.OutcomeReply(self.outcomes.revoke(decoded.unwrap()))
 
     async def on_handover(
         self, sender: str, message: peer_model.Message
     ) -> peer_model.Message | None:
-        """Keep the outcomes of a peer that is stopping."""
+        """Store the outcomes of a peer that is stopping."""
         assert isinstance(message, peer_model.OutcomeHandover)
         if not self.outcomes.accept_handover(message):
-            LOG.warning("no room for the outcomes of %s", sender)
+            LOG.warning(
+                "outcome table full; rejected the outcomes of %s", sender
+            )
             return None
         return peer_model.Acknowledgement()
 
@@ -195,14 +202,16 @@
         if self.catalogue.position == 0:
             return Failure(
                 result_codes.Refusal(
-                    ResultCode.NO_CATALOGUE, "no catalogue yet", 1.0
+                    ResultCode.NO_CATALOGUE,
+                    "this entry host has no catalogue yet",
+                    1.0,
                 )
             )
         work = self.catalogue.view.works.get(name)
         if work is None:
             return Failure(
                 result_codes.Refusal(
-                    ResultCode.UNKNOWN_WORK, "no such work entry"
+                    ResultCode.UNKNOWN_WORK, "the catalogue has no such work"
                 )
             )
         return Success(work)
@@ -210,37 +219,37 @@
     async def _run_once(
         self, request: core.CallerRequest, token: str
     ) -> model.Outcome:
-        read = self.issuer.decode(token)
-        if isinstance(read, Failure):
-            return Failure(read.failure())
-        content = read.unwrap()
-        if content.work != request.work:
+        decoded = self.issuer.decode(token)
+        if isinstance(decoded, Failure):
+            return Failure(decoded.failure())
+        run_token = decoded.unwrap()
+        if run_token.work != request.work:
             return _refuse(
-                ResultCode.TOKEN_INVALID, "the token is for other work"
+                ResultCode.TOKEN_INVALID, "the run token is for other work"
             )
         digest = _digest(request)
-        if content.incarnation != self.host.incarnation:
-            return await self._ask_named_host(token, content, digest)
-        claim = self.outcomes.begin(content, digest)
+        if run_token.incarnation != self.host.incarnation:
+            return await self._query_token_host(token, run_token, digest)
+        claim = self.outcomes.begin(run_token, digest)
         if claim.outcome is not None:
             return claim.outcome
-        if claim.standing is model.Standing.FIRST:
-            # The signed home region counts, since shift caps depend on it.
-            request = request._replace(home_region=content.home_region)
-            self.runs[content.token_id] = self._start(request, content)
-        return await self._wait_for(self.runs[content.token_id], request)
+        if claim.state is model.ClaimState.FIRST:
+            # Shift caps depend on the home region, so the signed one applies.
+            request = request._replace(home_region=run_token.home_region)
+            self.runs[run_token.token_id] = self._start_run(request, run_token)
+        return await self._wait_for_run(self.runs[run_token.token_id], request)
 
-    def _start(
+    def _start_run(
         self, request: core.CallerRequest, token: tokens.RunToken
     ) -> Run:
         run = Run()
-        run.task = asyncio.create_task(self._run_to_end(request, run))
-        # A task that is cancelled before its first step runs no code of its
-        # coroutine, so the outcome is settled by a callback.
-        run.task.add_done_callback(lambda _: self._settle(token, run))
+        run.task = asyncio.create_task(self._run_task(request, run))
+        # A task that is cancelled before its first step executes none of its
+        # coroutine, so a callback records the outcome.
+        run.task.add_done_callback(lambda _: self._record_outcome(token, run))
         return run
 
-    async def _run_to_end(
+    async def _run_task(
         self, request: core.CallerRequest, run: Run
     ) -> model.Outcome:
         found = self._find_work(request.work)
@@ -251,43 +260,45 @@
                 request, found.unwrap(), repeatable=False, run=run
             )
         except Exception:
-            LOG.exception("attempt failed", extra=_log_fields(request))
+            LOG.exception(
+                "run failed unexpectedly", extra=_log_fields(request)
+            )
             return _refuse(
-                ResultCode.ENTRY_HOST_LOST, "the attempt ended unexpectedly"
+                ResultCode.ENTRY_HOST_LOST, "an internal error ended the run"
             )
 
-    def _settle(self, token: tokens.RunToken, run: Run) -> None:
-        self.outcomes.finish(token, _result_of(run))
+    def _record_outcome(self, token: tokens.RunToken, run: Run) -> None:
+        self.outcomes.finish(token, _outcome_of_run(run))
         del self.runs[token.token_id]
 
-    async def _wait_for(
+    async def _wait_for_run(
         self, run: Run, request: core.CallerRequest
     ) -> model.Outcome:
         assert run.task is not None
-        woken = asyncio.get_running_loop().create_future()
+        waiter = asyncio.get_running_loop().create_future()
 
         def wake(_: object = None) -> None:
-            if not woken.done():
-                woken.set_result(None)
+            if not waiter.done():
+                waiter.set_result(None)
 
         run.task.add_done_callback(wake)
         timeout = self.timer.call_at(
             when_s=request.deadline_at_s + const.WAIT_MARGIN_S, callback=wake
         )
-        run.waiting += 1
+        run.waiting_calls += 1
         try:
-            await woken
+            await waiter
         finally:
             timeout.cancel()
             run.task.remove_done_callback(wake)
-            run.waiting -= 1
-            if run.waiting == 0 and not run.dispatched:
+            run.waiting_calls -= 1
+            if run.waiting_calls == 0 and not run.dispatched:
                 run.task.cancel()
         if run.task.done():
-            return _result_of(run)
+            return _outcome_of_run(run)
         return _refuse(
             ResultCode.ATTEMPT_RUNNING,
-            "the work is running",
+            "the work is still running",
             const.RUNNING_RETRY_AFTER_S,
         )
 
@@ -299,75 +310,78 @@
         repeatable: bool,
         run: Run,
     ) -> model.Outcome:
-        self.budget.count_first_try()
+        self.budget.count_first_attempt()
         excluded: frozenset[str] = frozenset()
-        # Set once an attempt may have run; no later refusal may then say
-        # that the request was not run.
-        unknown: result_codes.Refusal | None = None
-        # The last attempt's failure says more than that no server is left.
-        refused: result_codes.Refusal | None = None
-        for number in range(1, const.MAX_ATTEMPTS + 1):
+        # Set once an attempt may have run the work; from then on, no refusal
+        # may say that the request was not run.
+        unknown_outcome: result_codes.Refusal | None = None
+        # The refusal of the last attempt is more specific than the one for
+        # having no server left to try.
+        last_refusal: result_codes.Refusal | None = None
+        for attempt_number in range(1, const.MAX_ATTEMPTS + 1):
             admitted = await self.admission.admit(request, excluded=excluded)
             if isinstance(admitted, Failure):
-                return Failure(unknown or refused or admitted.failure())
+                return Failure(
+                    unknown_outcome or last_refusal or admitted.failure()
+                )
             permit = admitted.unwrap()
-            sent = await self._send(request, work, permit, run)
+            sent = await self._send_once(request, work, permit, run)
             if isinstance(sent, Success):
                 return Success(sent.unwrap())
             failure = sent.failure()
-            refusal = refused = _refusal_of(failure)
+            refusal = last_refusal = _refusal_from_failure(failure)
             if not failure.kind.certainly_not_run:
-                unknown = refusal
+                unknown_outcome = refusal
             retryable = failure.kind.certainly_not_run or (
                 repeatable
                 and failure.kind is not backend_model.FailureKind.TOO_LARGE
             )
-            if not retryable or number == const.MAX_ATTEMPTS:
-                return Failure(unknown or refusal)
+            if not retryable or attempt_number == const.MAX_ATTEMPTS:
+                return Failure(unknown_outcome or refusal)
             now = self.timer.monotonic()
             if now + const.MIN_RETRY_TIME_S >= request.deadline_at_s:
-                return Failure(unknown or refusal)
+                return Failure(unknown_outcome or refusal)
             if not self.budget.take(now=now):
-                empty = result_codes.Refusal(
+                exhausted = result_codes.Refusal(
                     ResultCode.RETRY_BUDGET_EMPTY,
                     failure.detail,
                     refusal.retry_after_s,
                 )
-                return Failure(unknown or empty)
+                return Failure(unknown_outcome or exhausted)
             self.metrics.count_retry(failure.kind.value)
             excluded |= {permit.bundle.server}
-            if number > 1:
-                pause_s = self.rng.uniform(0.0, const.RETRY_PAUSE_S)
-                await self.timer.sleep(pause_s)
+            if attempt_number > 1:
+                delay_s = self.rng.uniform(0.0, const.RETRY_JITTER_S)
+                await self.timer.sleep(delay_s)
         raise AssertionError("the last attempt returns")
 
-    async def _send(
+    async def _send_once(
         self,
         request: core.CallerRequest,
         work: catalogue_model.WorkEntry,
         permit: admission_model.Permit,
         run: Run,
     ) -> Result[core.Answer, backend_model.BackendFailure]:
-        """Send under a permit; the permit is finished on every path."""
+        """Send once under a permit and finish the permit on every path."""
         name = permit.bundle.server
         server = self.catalogue.view.servers.get(name)
         if server is None:
             self._finish(
                 permit,
                 request,
-                certain=True,
+                server_done=True,
                 answer_bytes=0,
                 traffic=backend_model.Traffic(),
             )
             return Failure(
                 backend_model.BackendFailure(
                     backend_model.FailureKind.NOT_SENT,
-                    "the server left the catalogue",
+                    "the server is no longer in the catalogue",
                 )
             )
         query = f"?{request.query}" if request.query else ""
         traffic = backend_model.Traffic()
-        attempt = backend_model.BackendRequest(
+        backend_request = backend_model.BackendRequest(
             request_id=request.request_id,
             server=server,
             method=request.method,
@@ -381,22 +395,22 @@
         started_s = self.timer.monotonic()
         run.dispatched = True
         self.health.started(name)
-        certain = False
+        server_done = False
         answer_bytes = 0
-        # What is observed when the send is cancelled or raises.
+        # Reported to the health tracking if the client raises.
         failure: backend_model.FailureKind | None = (
             backend_model.FailureKind.RESET
         )
         try:
-            sent = await self.backend.send(attempt)
+            sent = await self.backend.send(backend_request)
             if isinstance(sent, Success):
                 failure = None
-                certain = True
+                server_done = True
                 answer_bytes = len(sent.unwrap().body)
             else:
                 failure = sent.failure().kind
-                certain = failure.certainly_not_run
-            if certain and failure is not None:
+                server_done = failure.certainly_not_run
+            if server_done and failure is not None:
                 run.dispatched = False
             return sent
         except asyncio.CancelledError:
@@ -406,7 +420,7 @@
             self._finish(
                 permit,
                 request,
-                certain=certain,
+                server_done=server_done,
                 answer_bytes=answer_bytes,
                 traffic=traffic,
             )
@@ -418,13 +432,13 @@
         permit: admission_model.Permit,
         request: core.CallerRequest,
         *,
-        certain: bool,
+        server_done: bool,
         answer_bytes: int,
         traffic: backend_model.Traffic,
     ) -> None:
         ended = (
             admission_model.PermitEnd.COMPLETE
-            if certain
+            if server_done
             else admission_model.PermitEnd.ORPHANED
         )
         self.admission.finish(
@@ -435,22 +449,21 @@
             traffic=traffic,
         )
 
-    async def _ask_named_host(
-        self, token: str, content: tokens.RunToken, digest: bytes = b""
+    async def _query_token_host(
+        self, token: str, run_token: tokens.RunToken, digest: bytes = b""
     ) -> model.Outcome:
-        """Return what the named host knows; never run the work here.
+        """Return the outcome known to the token's host; run nothing here.
 
-        With a digest, the outcome is given only to the request that it
-        belongs to.
+        With a digest, the outcome is returned only for the same request.
         """
-        record = self.outcomes.record_of_stopped(content)
+        record = self.outcomes.handed_over_record(run_token)
         if (
             record.code != ResultCode.ENTRY_HOST_LOST
-            or content.host == self.host.name
+            or run_token.host == self.host.name
         ):
-            return outcomes_module.outcome_of(record, digest)
+            return outcomes_module.outcome_from_record(record, digest)
         reply = await self.mesh.request(
-            content.host,
+            run_token.host,
             peer_model.OutcomeQuery(token),
             timeout_s=const.OUTCOME_QUERY_TIMEOUT_S,
         )
@@ -458,20 +471,22 @@
             message = reply.unwrap()
             if (
                 isinstance(message, peer_model.OutcomeReply)
-                and message.record.token_id == content.token_id
+                and message.record.token_id == run_token.token_id
             ):
-                return outcomes_module.outcome_of(message.record, digest)
-        # The host may have handed over its outcomes while being asked.
-        record = self.outcomes.record_of_stopped(content)
-        return outcomes_module.outcome_of(record, digest)
+                return outcomes_module.outcome_from_record(
+                    message.record, digest
+                )
+        # The host may have handed over its outcomes during the query.
+        record = self.outcomes.handed_over_record(run_token)
+        return outcomes_module.outcome_from_record(record, digest)
 
-    async def _hand_over_to(
+    async def _hand_over_to_peer(
         self,
         peer: str,
         messages: tuple[peer_model.OutcomeHandover, ...],
     ) -> bool:
         for message in messages:
-            # Accepting is idempotent, so a lost answer is asked for again.
+            # A peer can accept a message twice, so a lost reply is retried.
             for _ in range(const.HANDOVER_TRIES):
                 reply = await self.mesh.request(
                     peer, message, timeout_s=const.HANDOVER_TIMEOUT_S
@@ -485,15 +500,16 @@
         return True
 
 
-def _result_of(run: Run) -> model.Outcome:
+def _outcome_of_run(run: Run) -> model.Outcome:
     assert run.task is not None
     if not run.task.cancelled():
         return run.task.result()
     if run.dispatched:
         return _refuse(
-            ResultCode.CALLER_GONE_RUNNING, "the attempt was cancelled"
+            ResultCode.CALLER_GONE_RUNNING,
+            "the run was cancelled; a server may have received the request",
         )
-    return _refuse(ResultCode.CALLER_GONE, "the caller is gone")
+    return _refuse(ResultCode.CALLER_GONE, "the caller disconnected")
 
 
 def _log_fields(request: core.CallerRequest) -> dict[str, str]:
@@ -509,14 +525,14 @@
     return digest.digest()
 
 
-def _refusal_of(
+def _refusal_from_failure(
     failure: backend_model.BackendFailure,
 ) -> result_codes.Refusal:
     retry_after_s = failure.retry_after_s
     if failure.kind.certainly_not_run:
         retry_after_s = max(const.NOT_RUN_RETRY_AFTER_S, retry_after_s)
     return result_codes.Refusal(
-        _CODE_OF_FAILURE[failure.kind], failure.detail, retry_after_s
+        _CODE_BY_FAILURE[failure.kind], failure.detail, retry_after_s
     )
 
 
--- a/src/samphirelug/components/execution/handover.py
+++ b/src/samphirelug/components/execution/handover.py
@@ -1,66 +1,70 @@
-"""Divide outcomes into messages for a planned stop."""
+"""Split outcomes into hand-over messages for a planned stop."""
 
 from samphirelug.components.execution import const
 from samphirelug.components.execution import outcomes
 from samphirelug.components.peers import model as peer_model
 from samphirelug import const as common_const
 
-# Keys, code, lifetime and CBOR framing of one record without its answer.
-_RECORD_BYTES = 160
+# Allowance for the keys, code, lifetime and CBOR framing of a record, and
+# again for those of its answer.
+_FRAMING_BYTES = 160
 
 
-def messages_for(
+def build_messages(
     *,
     incarnation: str,
     records: tuple[peer_model.OutcomeRecord, ...],
     clock_ms: int,
     max_bytes: int = const.HANDOVER_MESSAGE_BYTES,
 ) -> tuple[peer_model.OutcomeHandover, ...]:
-    """Return messages in the order to send; the mark is in the last one.
+    """Return hand-over messages in sending order, the complete one last.
 
-    The message with the mark names every token, without answers, so that
-    it is complete by itself even when the receiver restarted or lost an
-    earlier message. Where the tokens do not fit in one message no message
-    carries the mark, and unlisted tokens stay "outcome unknown".
+    The message with the flag "complete" lists every token, without answers,
+    so that it is sufficient even if the receiver restarted or missed an
+    earlier message. If the tokens do not fit in one message, no message has
+    the flag, and the outcome of a token that is not listed stays unknown.
     """
     batches: list[list[peer_model.OutcomeRecord]] = []
     for group in (
         [record for record in records if record.answer is not None],
         [record for record in records if record.answer is None],
     ):
-        batches.extend(_batches(group, max_bytes))
+        batches.extend(_split_into_batches(group, max_bytes))
     messages = [
-        _message(incarnation, batch, False, clock_ms) for batch in batches
+        _build_message(incarnation, batch, False, clock_ms)
+        for batch in batches
     ]
-    bare = list(outcomes.without_answers(records))
-    if sum(_size(record) for record in bare) <= max_bytes:
-        messages.append(_message(incarnation, bare, True, clock_ms))
+    without_answers = list(outcomes.without_answers(records))
+    if sum(_estimate_bytes(record) for record in without_answers) <= max_bytes:
+        messages.append(
+            _build_message(incarnation, without_answers, True, clock_ms)
+        )
     return tuple(messages)
 
 
-def _batches(
+def _split_into_batches(
     records: list[peer_model.OutcomeRecord], max_bytes: int
 ) -> list[list[peer_model.OutcomeRecord]]:
     batches: list[list[peer_model.OutcomeRecord]] = []
-    room = 0
+    free_bytes = 0
     for record in records:
-        size = _size(record)
-        if size > room or not batches:
+        size = _estimate_bytes(record)
+        if size > free_bytes or not batches:
             batches.append([])
-            room = max_bytes
+            free_bytes = max_bytes
         batches[-1].append(record)
-        room -= size
+        free_bytes -= size
     return batches
 
 
-def _message(
+def _build_message(
     incarnation: str,
     records: list[peer_model.OutcomeRecord],
     complete: bool,
     clock_ms: int,
 ) -> peer_model.OutcomeHandover:
-    # No token of the incarnation is accepted for longer than this.
-    ttl_s = common_const.TOKEN_TTL_S + const.KEEP_AFTER_EXPIRY_S
+    # After this time no token of the incarnation is accepted any more.
+    ttl_s = common_const.TOKEN_TTL_S + const.RETENTION_AFTER_EXPIRY_S
     return peer_model.OutcomeHandover(
         incarnation=incarnation,
         records=tuple(records),
@@ -70,12 +74,12 @@
     )
 
 
-def _size(record: peer_model.OutcomeRecord) -> int:
-    size = _RECORD_BYTES + len(record.token_id) + len(record.detail.encode())
+def _estimate_bytes(record: peer_model.OutcomeRecord) -> int:
+    size = _FRAMING_BYTES + len(record.token_id) + len(record.detail.encode())
     if record.answer is None:
         return size
     headers = sum(
         len(name.encode()) + len(value.encode()) + 8
         for name, value in record.answer.headers
     )
-    return size + len(record.answer.body) + headers + _RECORD_BYTES
+    return size + len(record.answer.body) + headers + _FRAMING_BYTES
--- a/src/samphirelug/components/execution/model.py
+++ b/src/samphirelug/components/execution/model.py
@@ -1,4 +1,4 @@
-"""Define what the outcome book returns and what the executor needs."""
+"""Define outcomes, token claims and the admission interface."""
 
 import enum
 from typing import NamedTuple
@@ -14,21 +14,21 @@
 Outcome = Result[core.Answer, result_codes.Refusal]
 
 
-class Standing(enum.Enum):
-    """Tell what a request with a run token may do."""
+class ClaimState(enum.Enum):
+    """State whether the work of a claimed run token may start."""
 
-    # The caller of begin() has to run the work and call finish().
+    # The caller of begin() must run the work and then call finish().
     FIRST = "first"
     RUNNING = "running"
-    # The outcome is known.
+    # The outcome is known, or the token is refused.
     SETTLED = "settled"
 
 
 class Claim(NamedTuple):
-    """Answer a request that comes with a run token."""
+    """Hold the result of claiming a run token for a request."""
 
-    standing: Standing
-    # Present only when SETTLED.
+    state: ClaimState
+    # Set only when the state is SETTLED.
     outcome: Outcome | None = None
 
 
@@ -38,7 +38,7 @@
     async def admit(
         self, request: core.CallerRequest, *, excluded: frozenset[str]
     ) -> Result[admission_model.Permit, result_codes.Refusal]:
-        """Return a permit or why there is none."""
+        """Return a permit, or the refusal that says why there is none."""
 
     def finish(
         self,
@@ -49,4 +49,4 @@
         answer_bytes: int,
         traffic: backend_model.Traffic | None = None,
     ) -> None:
-        """Give back a permit."""
+        """Release a permit and report how the attempt under it ended."""
--- a/src/samphirelug/components/execution/outcomes.py
+++ b/src/samphirelug/components/execution/outcomes.py
@@ -1,4 +1,4 @@
-"""Remember the outcome of each run token, without input or output."""
+"""Store the outcome of each run token in memory, without I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -16,33 +16,33 @@
 from samphirelug import result_codes
 from samphirelug.result_codes import ResultCode
 
-_RECORD_OVERHEAD_BYTES = 256
+_ANSWER_OVERHEAD_BYTES = 256
 
 
-class Entry(NamedTuple):
-    """Keep what is known of one token of this incarnation."""
+class TokenEntry(NamedTuple):
+    """Hold the state of one run token of this incarnation."""
 
-    # Empty for a token that was revoked before it arrived.
+    # Identifies the request; empty for a token revoked before its use.
     digest: bytes
     # None while the work is running.
     code: ResultCode | None
     detail: str
     answer: core.Answer | None
-    forget_ms: int
+    retained_until_ms: int
 
 
-class HandedOver(NamedTuple):
-    """Keep the outcomes of an incarnation that has stopped."""
+class ReceivedHandover(NamedTuple):
+    """Hold the outcomes that a stopped incarnation handed over."""
 
     records: dict[str, peer_model.OutcomeRecord]
-    # Clock of the incarnation when its set was closed, in ms; None while
-    # the set is not known to be complete.
+    # The incarnation's clock in ms when it stopped accepting tokens; None
+    # until a complete list of its tokens has been received.
     closed_at_ms: int | None
-    forget_at_s: float
+    retained_until_s: float
 
 
 class OutcomeTable:
-    """Let each run token start once and answer what became of it."""
+    """Let each run token start its work once and store the outcome."""
 
     def __init__(
         self,
@@ -60,51 +60,51 @@
         self.max_outcomes = max_outcomes
         self.max_total_bytes = max_total_bytes
         self.max_answer_bytes = max_answer_bytes
-        self.entries: dict[str, Entry] = {}
-        # Tokens whose answer is kept, the oldest first, and their bytes.
-        self.kept: dict[str, int] = {}
+        self.entries: dict[str, TokenEntry] = {}
+        # Size in bytes of each kept answer by token id, oldest first.
+        self.kept_answers: dict[str, int] = {}
         self.kept_bytes = 0
         self.closed = False
-        self.handed_over: dict[str, HandedOver] = {}
-        # Tokens by the second in which they may be forgotten.
-        self._expiries: dict[int, set[str]] = {}
-        self._expired_to_s = 0
+        self.handed_over: dict[str, ReceivedHandover] = {}
+        # Token ids by the second in which their entries are removed.
+        self._removals: dict[int, set[str]] = {}
+        self._next_removal_s = 0
 
     def clock_ms(self) -> int:
         """Return milliseconds since this incarnation started."""
         return int((self.timer.monotonic() - self.started_at_s) * 1000)
 
     def begin(self, token: tokens.RunToken, digest: bytes) -> model.Claim:
-        """Start a token of this incarnation, or say what became of it.
+        """Claim a token of this incarnation, or return its state or outcome.
 
         The digest identifies the request that the token is used for.
         """
-        self._forget()
+        self._remove_expired()
         entry = self.entries.get(token.token_id)
         if entry is not None:
-            return _claim(entry, digest)
-        expired = self._expiry_refusal(token)
-        if expired is not None:
-            return _refused(expired)
+            return _claim_from_entry(entry, digest)
+        expiry = self._expiry_refusal(token)
+        if expiry is not None:
+            return _refused_claim(expiry)
         if self.closed:
-            return _refused(
+            return _refused_claim(
                 result_codes.Refusal(
                     ResultCode.STOPPING, "the entry host is stopping"
                 )
             )
         if len(self.entries) >= self.max_outcomes:
-            return _refused(
+            return _refused_claim(
                 result_codes.Refusal(
-                    ResultCode.OVERLOADED, "the outcome book is full", 1.0
+                    ResultCode.OVERLOADED, "the outcome table is full", 1.0
                 )
             )
         self._put(token, digest=digest, code=None, detail="", answer=None)
-        return model.Claim(model.Standing.FIRST)
+        return model.Claim(model.ClaimState.FIRST)
 
     def finish(self, token: tokens.RunToken, outcome: model.Outcome) -> None:
-        """Keep the outcome of a token that begin() has started.
+        """Store the outcome of a token that was claimed with begin().
 
-        A token whose work was certainly not run may be started again.
+        A token whose work was certainly not run can be claimed again.
         """
         entry = self.entries[token.token_id]
         if isinstance(outcome, Success):
@@ -118,8 +118,10 @@
             return
         refusal = outcome.failure()
         if refusal.code.effect is result_codes.Effect.NOT_RUN:
-            # Callers that retry while refused must not fill the book.
-            self._expiries[_second(entry.forget_ms)].discard(token.token_id)
+            # Refused requests that are retried must not fill the table.
+            self._removals[_removal_second(entry.retained_until_ms)].discard(
+                token.token_id
+            )
             del self.entries[token.token_id]
             return
         self._put(
@@ -131,56 +133,56 @@
         )
 
     def revoke(self, token: tokens.RunToken) -> peer_model.OutcomeRecord:
-        """Return a token's outcome; one that has not started never will."""
+        """Return a token's outcome; revoke the token if it is unused."""
         if token.incarnation != self.host.incarnation:
-            return self.record_of_stopped(token)
-        self._forget()
+            return self.handed_over_record(token)
+        self._remove_expired()
         entry = self.entries.get(token.token_id)
         if entry is not None:
-            return self._record(token.token_id, entry)
-        expired = self._expiry_refusal(token)
-        if expired is not None:
-            return _bare_record(token, expired.code, expired.detail)
-        revoked = (ResultCode.TOKEN_REVOKED, "the token will never run")
-        # A closed book starts no token, so there is nothing to remember.
+            return self._entry_record(token.token_id, entry)
+        expiry = self._expiry_refusal(token)
+        if expiry is not None:
+            return _make_record(token, expiry.code, expiry.detail)
+        revocation = (ResultCode.TOKEN_REVOKED, "the run token is revoked")
+        # In a closed table no token can be claimed, so none is needed.
         if not self.closed:
             if len(self.entries) >= self.max_outcomes:
-                return _bare_record(
+                return _make_record(
                     token,
                     ResultCode.OUTCOME_NOT_KEPT,
-                    "the outcome book is full",
+                    "the outcome table is full",
                 )
             self._put(
                 token,
                 digest=b"",
-                code=revoked[0],
-                detail=revoked[1],
+                code=revocation[0],
+                detail=revocation[1],
                 answer=None,
             )
-        return _bare_record(token, *revoked)
+        return _make_record(token, *revocation)
 
     def is_unused(self, token: tokens.RunToken) -> bool:
         """Return whether a token of this incarnation was certainly not run.
 
-        Its work may still be started later.
+        Its work may still start later.
         """
-        self._forget()
+        self._remove_expired()
         entry = self.entries.get(token.token_id)
         if entry is not None:
             return entry.code is ResultCode.TOKEN_REVOKED
-        return self.clock_ms() < _forget_ms(token)
+        return self.clock_ms() < _retained_until_ms(token)
 
     def close(self) -> None:
-        """Start no further token; outcomes are still given."""
+        """Let no further token be claimed; outcomes can still be queried."""
         self.closed = True
 
     def records(self) -> tuple[peer_model.OutcomeRecord, ...]:
-        """Return all outcomes for a hand-over; closes the book."""
+        """Close the table and return all outcomes for a hand-over."""
         self.close()
-        self._forget()
+        self._remove_expired()
         records = []
         for token_id, entry in self.entries.items():
-            record = self._record(token_id, entry)
+            record = self._entry_record(token_id, entry)
             if entry.code is ResultCode.TOKEN_REVOKED:
                 continue
             if entry.code is None:
@@ -192,58 +194,63 @@
         return tuple(records)
 
     def accept_handover(self, handover: peer_model.OutcomeHandover) -> bool:
-        """Keep outcomes of a stopped incarnation; false when full.
+        """Store outcomes of a stopped incarnation; false if too many.
 
-        A complete hand-over names every token of the incarnation by itself,
-        so a lost earlier message loses answers but no token.
+        A complete hand-over lists every token of the incarnation, so the
+        loss of an earlier message loses answers but no token.
         """
-        self._forget()
-        known = self.handed_over.get(handover.incarnation)
-        records = dict(known.records) if known is not None else {}
+        self._remove_expired()
+        previous = self.handed_over.get(handover.incarnation)
+        records = dict(previous.records) if previous is not None else {}
         for record in handover.records:
             if (
                 record.token_id not in records
                 or records[record.token_id].answer is None
             ):
-                records[record.token_id] = self._within_bounds(record)
-        others = sum(len(one.records) for one in self.handed_over.values())
-        others -= len(known.records) if known is not None else 0
-        if others + len(records) > self.max_outcomes:
+                records[record.token_id] = self._limit_answer_bytes(record)
+        other_count = sum(
+            len(received.records) for received in self.handed_over.values()
+        )
+        other_count -= len(previous.records) if previous is not None else 0
+        if other_count + len(records) > self.max_outcomes:
             return False
-        closed_at_ms = known.closed_at_ms if known is not None else None
+        closed_at_ms = previous.closed_at_ms if previous is not None else None
         if handover.complete and closed_at_ms is None:
             closed_at_ms = handover.clock_ms
-        self.handed_over[handover.incarnation] = HandedOver(
+        self.handed_over[handover.incarnation] = ReceivedHandover(
             records=records,
             closed_at_ms=closed_at_ms,
-            forget_at_s=self.timer.monotonic() + handover.ttl_ms / 1000,
+            retained_until_s=self.timer.monotonic() + handover.ttl_ms / 1000,
         )
-        self._bound_handed_over(handover.incarnation)
+        self._limit_handover_bytes(handover.incarnation)
         return True
 
-    def record_of_stopped(
+    def handed_over_record(
         self, token: tokens.RunToken
     ) -> peer_model.OutcomeRecord:
-        """Return the outcome of another incarnation's token."""
-        self._forget()
-        handed_over = self.handed_over.get(token.incarnation)
-        if handed_over is not None:
-            record = handed_over.records.get(token.token_id)
+        """Return the handed-over outcome of another incarnation's token.
+
+        The code is ENTRY_HOST_LOST if nothing is known of the token.
+        """
+        self._remove_expired()
+        received = self.handed_over.get(token.incarnation)
+        if received is not None:
+            record = received.records.get(token.token_id)
             if record is not None:
                 return record
             if (
-                handed_over.closed_at_ms is not None
-                and token.expires_ms > handed_over.closed_at_ms
+                received.closed_at_ms is not None
+                and token.expires_ms > received.closed_at_ms
             ):
-                return _bare_record(
+                return _make_record(
                     token,
                     ResultCode.TOKEN_REVOKED,
-                    "the entry host stopped without running the token",
+                    "the entry host stopped before the run token was used",
                 )
-        return _bare_record(
+        return _make_record(
             token,
             ResultCode.ENTRY_HOST_LOST,
-            "the entry host that was to run the token is gone",
+            "the entry host of the run token has stopped or is unreachable",
         )
 
     def _expiry_refusal(
@@ -252,13 +259,14 @@
         now_ms = self.clock_ms()
         if now_ms < token.expires_ms:
             return None
-        if now_ms < _forget_ms(token):
+        if now_ms < _retained_until_ms(token):
             return result_codes.Refusal(
-                ResultCode.TOKEN_EXPIRED, "the token expired unused"
+                ResultCode.TOKEN_EXPIRED,
+                "the run token expired before it was used",
             )
         return result_codes.Refusal(
             ResultCode.TOKEN_EXPIRED_UNKNOWN,
-            "the token's outcome is no longer kept",
+            "the run token expired and its outcome is no longer kept",
         )
 
     def _put(
@@ -272,50 +280,60 @@
     ) -> None:
         token_id = token.token_id
         if token_id not in self.entries:
-            second = _second(_forget_ms(token))
-            self._expiries.setdefault(second, set()).add(token_id)
-        size = _size(answer)
+            second = _removal_second(_retained_until_ms(token))
+            self._removals.setdefault(second, set()).add(token_id)
+        size = _answer_bytes(answer)
         if size > self.max_answer_bytes:
             answer = None
             size = 0
-        before = self.entries.get(token_id)
-        forget_ms = before.forget_ms if before else _forget_ms(token)
-        self.entries[token_id] = Entry(digest, code, detail, answer, forget_ms)
+        previous = self.entries.get(token_id)
+        retained_until_ms = (
+            previous.retained_until_ms
+            if previous
+            else _retained_until_ms(token)
+        )
+        self.entries[token_id] = TokenEntry(
+            digest, code, detail, answer, retained_until_ms
+        )
         if answer is None:
             return
-        self.kept[token_id] = size
+        self.kept_answers[token_id] = size
         self.kept_bytes += size
         while self.kept_bytes > self.max_total_bytes:
-            self._drop_answer(next(iter(self.kept)))
+            self._drop_answer(next(iter(self.kept_answers)))
 
     def _drop_answer(self, token_id: str) -> None:
-        self.kept_bytes -= self.kept.pop(token_id, 0)
+        self.kept_bytes -= self.kept_answers.pop(token_id, 0)
         entry = self.entries[token_id]
         self.entries[token_id] = entry._replace(answer=None)
 
-    def _forget(self) -> None:
+    def _remove_expired(self) -> None:
         end_s = self.clock_ms() // 1000 + 1
-        for second in range(self._expired_to_s, end_s):
-            for token_id in self._expiries.pop(second, ()):
+        for second in range(self._next_removal_s, end_s):
+            for token_id in self._removals.pop(second, ()):
                 if self.entries[token_id].code is None:
-                    # Work that still runs is looked at again later.
-                    self._postpone(token_id, end_s)
+                    # The entry of running work stays; check it later again.
+                    self._extend_retention(token_id, end_s)
                     continue
                 self._drop_answer(token_id)
                 del self.entries[token_id]
-        self._expired_to_s = end_s
+        self._next_removal_s = end_s
         now_s = self.timer.monotonic()
-        for incarnation, one in list(self.handed_over.items()):
-            if one.forget_at_s <= now_s:
+        for incarnation, received in list(self.handed_over.items()):
+            if received.retained_until_s <= now_s:
                 del self.handed_over[incarnation]
 
-    def _postpone(self, token_id: str, now_s: int) -> None:
+    def _extend_retention(self, token_id: str, now_s: int) -> None:
         second = now_s + int(common_const.MAX_REQUEST_S)
-        self._expiries.setdefault(second, set()).add(token_id)
+        self._removals.setdefault(second, set()).add(token_id)
         entry = self.entries[token_id]
-        self.entries[token_id] = entry._replace(forget_ms=second * 1000 - 1)
+        self.entries[token_id] = entry._replace(
+            retained_until_ms=second * 1000 - 1
+        )
 
-    def _record(self, token_id: str, entry: Entry) -> peer_model.OutcomeRecord:
+    def _entry_record(
+        self, token_id: str, entry: TokenEntry
+    ) -> peer_model.OutcomeRecord:
         code, detail = entry.code, entry.detail
         if code is None:
             code, detail = ResultCode.ATTEMPT_RUNNING, "the work is running"
@@ -326,50 +344,50 @@
             code=code,
             detail=detail,
             answer=entry.answer,
-            ttl_ms=max(0, entry.forget_ms - self.clock_ms()),
+            ttl_ms=max(0, entry.retained_until_ms - self.clock_ms()),
             digest=entry.digest,
         )
 
-    def _within_bounds(
+    def _limit_answer_bytes(
         self, record: peer_model.OutcomeRecord
     ) -> peer_model.OutcomeRecord:
-        if _size(record.answer) <= self.max_answer_bytes:
+        if _answer_bytes(record.answer) <= self.max_answer_bytes:
             return record
         return _without_answer(record)
 
-    def _bound_handed_over(self, incarnation: str) -> None:
+    def _limit_handover_bytes(self, incarnation: str) -> None:
         records = self.handed_over[incarnation].records
         total = sum(
-            _size(record.answer)
-            for one in self.handed_over.values()
-            for record in one.records.values()
+            _answer_bytes(record.answer)
+            for received in self.handed_over.values()
+            for record in received.records.values()
         )
         for token_id, record in records.items():
             if total <= self.max_total_bytes:
                 return
-            total -= _size(record.answer)
+            total -= _answer_bytes(record.answer)
             records[token_id] = _without_answer(record)
 
 
 _NOT_KEPT = "the work was run; its answer is not kept"
 _OTHER_REQUEST = result_codes.Refusal(
-    ResultCode.TOKEN_INVALID, "the token was used for a different request"
+    ResultCode.TOKEN_INVALID, "the run token was used for a different request"
 )
 
 
 def without_answers(
     records: Iterable[peer_model.OutcomeRecord],
 ) -> tuple[peer_model.OutcomeRecord, ...]:
-    """Return the records with their answers left out."""
+    """Return the records without their answers."""
     return tuple(_without_answer(record) for record in records)
 
 
-def outcome_of(
+def outcome_from_record(
     record: peer_model.OutcomeRecord, digest: bytes = b""
 ) -> model.Outcome:
-    """Return the outcome that a record stands for.
+    """Convert a record to an outcome.
 
-    A request with another digest than the record's gets TOKEN_INVALID.
+    Fails with TOKEN_INVALID if the record belongs to another digest.
     """
     if record.digest and digest and record.digest != digest:
         return Failure(_OTHER_REQUEST)
@@ -387,25 +405,25 @@
     return Failure(result_codes.Refusal(code, record.detail, retry_after_s))
 
 
-def _claim(entry: Entry, digest: bytes) -> model.Claim:
+def _claim_from_entry(entry: TokenEntry, digest: bytes) -> model.Claim:
     if entry.digest and entry.digest != digest:
-        return _refused(_OTHER_REQUEST)
+        return _refused_claim(_OTHER_REQUEST)
     if entry.code is None:
-        return model.Claim(model.Standing.RUNNING)
+        return model.Claim(model.ClaimState.RUNNING)
     if entry.answer is not None:
-        return model.Claim(model.Standing.SETTLED, Success(entry.answer))
+        return model.Claim(model.ClaimState.SETTLED, Success(entry.answer))
     if entry.code is ResultCode.OK:
-        return _refused(
+        return _refused_claim(
             result_codes.Refusal(ResultCode.OUTCOME_NOT_KEPT, _NOT_KEPT)
         )
-    return _refused(result_codes.Refusal(entry.code, entry.detail))
+    return _refused_claim(result_codes.Refusal(entry.code, entry.detail))
 
 
-def _refused(refusal: result_codes.Refusal) -> model.Claim:
-    return model.Claim(model.Standing.SETTLED, Failure(refusal))
+def _refused_claim(refusal: result_codes.Refusal) -> model.Claim:
+    return model.Claim(model.ClaimState.SETTLED, Failure(refusal))
 
 
-def _bare_record(
+def _make_record(
     token: tokens.RunToken, code: ResultCode, detail: str
 ) -> peer_model.OutcomeRecord:
     return peer_model.OutcomeRecord(token.token_id, code, detail, None, 0)
@@ -421,16 +439,16 @@
     )
 
 
-def _forget_ms(token: tokens.RunToken) -> int:
-    return token.expires_ms + int(const.KEEP_AFTER_EXPIRY_S * 1000)
+def _retained_until_ms(token: tokens.RunToken) -> int:
+    return token.expires_ms + int(const.RETENTION_AFTER_EXPIRY_S * 1000)
 
 
-def _second(forget_ms: int) -> int:
-    return forget_ms // 1000 + 1
+def _removal_second(retained_until_ms: int) -> int:
+    return retained_until_ms // 1000 + 1
 
 
-def _size(answer: core.Answer | None) -> int:
+def _answer_bytes(answer: core.Answer | None) -> int:
     if answer is None:
         return 0
     headers = sum(len(name) + len(value) for name, value in answer.headers)
-    return len(answer.body) + headers + _RECORD_OVERHEAD_BYTES
+    return len(answer.body) + headers + _ANSWER_OVERHEAD_BYTES
--- a/src/samphirelug/components/execution/retry_budget.py
+++ b/src/samphirelug/components/execution/retry_budget.py
@@ -1,32 +1,36 @@
-"""Bound retries to a share of first tries."""
+"""Limit retries to a fraction of first attempts."""
 
 from samphirelug.components.execution import const
 
 
 class RetryBudget:
-    """Allow a retry for each 1 / RETRY_SHARE first tries, plus a floor."""
+    """Allow one retry per 1 / RETRY_RATIO first attempts, plus a minimum."""
 
     def __init__(self, *, now: float) -> None:
-        self.saved = 0.0
-        self.floor = const.RETRY_FLOOR_BURST
+        # Retries earned by first attempts.
+        self.credit = 0.0
+        # Retries of the minimum rate, which do not depend on traffic.
+        self.reserve = const.MIN_RETRIES_BURST
         self.refilled_at_s = now
 
-    def count_first_try(self) -> None:
-        """Earn the share of a retry that a first try allows."""
-        self.saved = min(const.RETRY_MAX_SAVED, self.saved + const.RETRY_SHARE)
+    def count_first_attempt(self) -> None:
+        """Add the fraction of a retry that a first attempt earns."""
+        self.credit = min(
+            const.MAX_RETRY_CREDIT, self.credit + const.RETRY_RATIO
+        )
 
     def take(self, *, now: float) -> bool:
-        """Take one retry; false when the budget is empty."""
+        """Take one retry from the budget; return false when it is empty."""
         elapsed_s = max(0.0, now - self.refilled_at_s)
         self.refilled_at_s = max(now, self.refilled_at_s)
-        self.floor = min(
-            const.RETRY_FLOOR_BURST,
-            self.floor + elapsed_s * const.RETRY_FLOOR_PER_S,
+        self.reserve = min(
+            const.MIN_RETRIES_BURST,
+            self.reserve + elapsed_s * const.MIN_RETRIES_PER_S,
         )
-        if self.saved >= 1.0:
-            self.saved -= 1.0
+        if self.credit >= 1.0:
+            self.credit -= 1.0
             return True
-        if self.floor >= 1.0:
-            self.floor -= 1.0
+        if self.reserve >= 1.0:
+            self.reserve -= 1.0
             return True
         return False
--- a/src/samphirelug/components/execution/tokens.py
+++ b/src/samphirelug/components/execution/tokens.py
@@ -1,4 +1,4 @@
-"""Issue and read run tokens."""
+"""Issue, verify and decode run tokens."""
 
 import secrets
 from typing import NamedTuple
@@ -16,14 +16,14 @@
 
 
 class RunToken(NamedTuple):
-    """Allow one piece of work to be run once by one incarnation."""
+    """Allow one incarnation of an entry host to run work once."""
 
     token_id: str
     work: str
     host: str
     incarnation: str
     home_region: str
-    # On the clock of the named incarnation, in ms since it started.
+    # In ms since the start of this incarnation, on its own clock.
     expires_ms: int
 
 
@@ -31,7 +31,7 @@
 
 
 class TokenIssuer:
-    """Issue run tokens and read those of other entry hosts."""
+    """Issue run tokens and decode those of all entry hosts."""
 
     def __init__(
         self, *, secret: str, timer: timer_module.TimerService
@@ -47,7 +47,10 @@
         home_region: str,
         clock_ms: int,
     ) -> str:
-        """Return a token for a host, given its last known clock in ms."""
+        """Return a signed token for a host.
+
+        The host's last known clock, in ms since its start, sets the expiry.
+        """
         token = RunToken(
             token_id=secrets.token_urlsafe(12),
             work=work,
@@ -59,14 +62,14 @@
         return self.signer.sign(tuple(token))
 
     def decode(self, token: str) -> Result[RunToken, result_codes.Refusal]:
-        """Return a token's content; fails with TOKEN_INVALID."""
+        """Verify and decode a token; fails with TOKEN_INVALID."""
         verified = self.signer.verify(token)
         if isinstance(verified, Failure):
             return _invalid(verified.failure())
         try:
             return Success(_ADAPTER.validate_python(verified.unwrap()))
         except pydantic.ValidationError:
-            return _invalid("the token has unexpected fields")
+            return _invalid("the run token has unexpected fields")
 
 
 def _invalid(detail: str) -> Result[RunToken, result_codes.Refusal]:
--- a/tests/components/execution/test_executor.py
+++ b/tests/components/execution/test_executor.py
@@ -142,7 +142,7 @@
             await world.settle()
         codes.append(await code(call))
     assert codes[-1] is ResultCode.RETRY_BUDGET_EMPTY
-    assert len(world.attempts) <= 20 + 20 * const.RETRY_SHARE + 4
+    assert len(world.attempts) <= 20 + 20 * const.RETRY_RATIO + 4
 
 
 async def refused_token_may_run_later(world: world_module.World) -> None:
@@ -179,7 +179,7 @@
     await world.settle()
     assert len(world.hosts["eh1"].executor.runs) == 1
     world.attempts[0].reply(None)
-    await world.hosts["eh1"].executor.drained()
+    await world.hosts["eh1"].executor.wait_for_runs()
     assert await code(world.call("eh1", "p", token)) is ResultCode.OK
 
 
@@ -300,7 +300,7 @@
         (mark._replace(clock_ms=1), ResultCode.TOKEN_REVOKED),
     ):
         assert book.accept_handover(handover)
-        assert book.record_of_stopped(content).code == code_then
+        assert book.handed_over_record(content).code == code_then
 
 
 async def handover_without_mark(world: world_module.World) -> None:
--- a/tests/components/execution/test_outcomes.py
+++ b/tests/components/execution/test_outcomes.py
@@ -40,7 +40,7 @@
 
     def run(self, token: tokens.RunToken, size: int) -> None:
         """Run a token to an answer of some bytes."""
-        assert self.book.begin(token, b"d").standing is model.Standing.FIRST
+        assert self.book.begin(token, b"d").state is model.ClaimState.FIRST
         self.book.finish(token, Success(make_answer(size)))
 
     def repeat(self, token: tokens.RunToken) -> ResultCode:
@@ -96,7 +96,7 @@
     assert revoked.code == ResultCode.OUTCOME_NOT_KEPT
     books.clock.advance(182.0)
     later = make_token("e", expires_ms=300_000)
-    assert books.book.begin(later, b"d").standing is model.Standing.FIRST
+    assert books.book.begin(later, b"d").state is model.ClaimState.FIRST
     assert len(books.book.entries) == 1
 
 
@@ -107,7 +107,7 @@
         books.book.begin(make_token("a"), b"d")
         books.book.finish(make_token("a"), Failure(BUSY))
     assert not books.book.entries
-    assert not any(books.book._expiries.values())
+    assert not any(books.book._removals.values())
 
 
 @given(
@@ -131,11 +131,11 @@
         books.clock.advance(step_s)
         if action == "begin":
             claim = books.book.begin(token, b"d")
-            if claim.standing is model.Standing.FIRST:
+            if claim.state is model.ClaimState.FIRST:
                 assert name not in running | used | revoked
                 running.add(name)
             else:
-                running_now = claim.standing is model.Standing.RUNNING
+                running_now = claim.state is model.ClaimState.RUNNING
                 assert running_now is (name in running)
         elif action == "revoke":
             record = books.book.revoke(token)
@@ -159,7 +159,7 @@
     books = Books()
     for name in "abcd":
         books.run(make_token(name), 400)
-    messages = handover.messages_for(
+    messages = handover.build_messages(
         incarnation=HOST.incarnation,
         records=books.book.records(),
         clock_ms=1000,
@@ -171,12 +171,12 @@
     peer = books.make(builders.make_host("eh2"))
     for message in (*messages, *messages):
         assert peer.accept_handover(message)
-    codes = {peer.record_of_stopped(make_token(n)).code for n in "abcd"}
+    codes = {peer.handed_over_record(make_token(n)).code for n in "abcd"}
     assert codes <= {ResultCode.OK, ResultCode.OUTCOME_NOT_KEPT}
     others = peer_model.OutcomeHandover("x-1", messages[-1].records, True, 9)
     assert not peer.accept_handover(others)
     books.clock.advance(181.0)
-    lost = peer.record_of_stopped(make_token("a"))
+    lost = peer.handed_over_record(make_token("a"))
     assert lost.code == ResultCode.ENTRY_HOST_LOST
 
 
@@ -186,7 +186,7 @@
         peer_model.OutcomeRecord(f"t{number}", 2002, "reset", None, 1)
         for number in range(50)
     )
-    messages = handover.messages_for(
+    messages = handover.build_messages(
         incarnation="eh1-1", records=records, clock_ms=1, max_bytes=1000
     )
     assert not any(message.complete for message in messages)
--- a/tests/components/execution/test_retry_budget.py
+++ b/tests/components/execution/test_retry_budget.py
@@ -26,18 +26,18 @@
         now += step_s
         latest = max(latest, now)
         for _ in range(tries):
-            budget.count_first_try()
+            budget.count_first_attempt()
         first_tries += tries
         taken += sum(budget.take(now=now) for _ in range(wanted))
-        floor = const.RETRY_FLOOR_BURST + const.RETRY_FLOOR_PER_S * latest
-        assert taken <= const.RETRY_SHARE * first_tries + floor + 1e-6
+        floor = const.MIN_RETRIES_BURST + const.MIN_RETRIES_PER_S * latest
+        assert taken <= const.RETRY_RATIO * first_tries + floor + 1e-6
 
 
 def test_lone_request_may_retry() -> None:
     """Guard against a quiet host that can never retry."""
     budget = retry_budget.RetryBudget(now=0.0)
     for second in range(20):
-        budget.count_first_try()
+        budget.count_first_attempt()
         assert budget.take(now=float(second))
 
 
@@ -45,6 +45,6 @@
     """Guard against a burst of retries after many good requests."""
     budget = retry_budget.RetryBudget(now=0.0)
     for _ in range(100_000):
-        budget.count_first_try()
+        budget.count_first_attempt()
     taken = sum(budget.take(now=0.0) for _ in range(1000))
-    assert taken <= const.RETRY_MAX_SAVED + const.RETRY_FLOOR_BURST
+    assert taken <= const.MAX_RETRY_CREDIT + const.MIN_RETRIES_BURST
