--- a/src/samphirelug/components/forwarding/forwarder.py
+++ b/src/samphirelug/components/forwarding/forwarder.py
@@ -204,12 +204,12 @@
         trace: request_log.RequestTrace,
     ) -> model.AttemptResult:
         sent_at_s = self.timer.monotonic()
-        self.placer.sent(attempt.server, service=service, now=sent_at_s)
+        self.placer.record_sent(attempt.server, service=service, now=sent_at_s)
         entry = trace.add_attempt(candidate, now=sent_at_s)
         try:
             outcome = await self.sender.send(attempt)
         finally:
-            self.placer.ended(attempt.server)
+            self.placer.record_ended(attempt.server)
         now = self.timer.monotonic()
         entry.ended_at_s = now
         self.placer.observe(
--- a/src/samphirelug/components/placement/__init__.py
+++ b/src/samphirelug/components/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Choose the backend server that runs a request, or refuse the request."""
+"""Select the backend server for a request, or refuse the request."""
--- a/src/samphirelug/components/placement/load.py
+++ b/src/samphirelug/components/placement/load.py
@@ -1,7 +1,7 @@
-"""Estimate how many requests each server has.
+"""Estimate the number of requests at each server.
 
-Answers load that several entry hosts send to the same few slots: each host
-adds the other hosts' requests, as the server last reported them, to its own.
+Several entry hosts send requests to the same few slots. Each host adds the
+requests of the other hosts, as last reported by the server, to its own.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class LoadReport(NamedTuple):
-    """Hold a server's own count of its requests."""
+    """Hold the request counts that a server reports about itself."""
 
     running: int
     waiting: int
@@ -18,29 +18,31 @@
 
 
 class ServerLoad:
-    """Track one incarnation of a server."""
+    """Track load and failures of one server incarnation."""
 
     def __init__(self) -> None:
+        # Requests of this host only.
         self.in_flight = 0
-        self.others = 0.0
+        # Requests of all other hosts at the time of the newest report.
+        self.other_hosts_in_flight = 0.0
         self.reported_at_s: float | None = None
-        # Mean time that requests take here, waiting included.
+        # Mean time of a request at this server, including its queueing time.
         self.service_time_s = const.INITIAL_SERVICE_TIME_S
         self.failures_in_row = 0
         self.pause_s = 0.0
-        self.suspended_until_s = 0.0
+        self.paused_until_s = 0.0
 
     def estimate(self, now: float) -> float:
-        """Return the requests that the server has, from all hosts."""
+        """Return the estimated number of requests from all hosts."""
         if self.reported_at_s is None:
             return self.in_flight
         age_s = max(0.0, now - self.reported_at_s)
         half_life_s = min(
             const.MAX_HALF_LIFE_S,
-            const.REPORT_HALF_LIFE * self.service_time_s,
+            const.REPORT_HALF_LIFE_FACTOR * self.service_time_s,
         )
         decay: float = 0.5 ** (age_s / half_life_s)
-        return self.in_flight + self.others * decay
+        return self.in_flight + self.other_hosts_in_flight * decay
 
     def report_age_s(self, now: float) -> float | None:
         """Return the age of the newest report, None if there is none."""
@@ -49,47 +51,47 @@
         return now - self.reported_at_s
 
     def observe_report(self, report: LoadReport, *, now: float) -> None:
-        """Take over what the server reports, less this host's requests."""
+        """Record the reported requests, minus those of this host."""
         total = report.running + report.waiting
-        self.others = float(max(0, total - self.in_flight))
+        self.other_hosts_in_flight = float(max(0, total - self.in_flight))
         self.reported_at_s = now
 
     def observe_success(self, *, took_s: float) -> None:
-        """Learn the time that a request takes, and forget failures."""
-        self.service_time_s += const.SERVER_TIME_GAIN * (
+        """Update the mean request time and reset the failure count."""
+        self.service_time_s += const.SERVER_TIME_EWMA_WEIGHT * (
             took_s - self.service_time_s
         )
         self.failures_in_row = 0
         self.pause_s = 0.0
 
     def observe_failure(self, *, now: float, unreachable: bool) -> bool:
-        """Count a failure; return whether it suspends the server."""
+        """Count a failure; return whether it pauses the server."""
         self.failures_in_row += 1
         if (
             not unreachable
-            and self.failures_in_row < const.FAILURES_TO_SUSPEND
+            and self.failures_in_row < const.FAILURES_BEFORE_PAUSE
         ):
             return False
         self.pause_s = min(
-            const.SUSPEND_MAX_S, max(const.SUSPEND_FIRST_S, 2 * self.pause_s)
+            const.MAX_PAUSE_S, max(const.INITIAL_PAUSE_S, 2 * self.pause_s)
         )
-        self.suspended_until_s = now + self.pause_s
+        self.paused_until_s = now + self.pause_s
         return True
 
 
-class LoadBook:
-    """Hold the load of each known incarnation."""
+class LoadTracker:
+    """Hold the load of each known server incarnation."""
 
     def __init__(self) -> None:
-        self.loads: dict[tuple[str, int], ServerLoad] = {}
+        self.by_incarnation: dict[tuple[str, int], ServerLoad] = {}
 
-    def of(self, incarnation: tuple[str, int]) -> ServerLoad:
-        """Return the load of an incarnation, new if it is unknown."""
-        load = self.loads.get(incarnation)
+    def get_or_create(self, incarnation: tuple[str, int]) -> ServerLoad:
+        """Return the load of an incarnation, added if it is unknown."""
+        load = self.by_incarnation.get(incarnation)
         if load is None:
-            load = self.loads[incarnation] = ServerLoad()
+            load = self.by_incarnation[incarnation] = ServerLoad()
         return load
 
-    def forget(self, incarnation: tuple[str, int]) -> None:
-        """Drop an incarnation that has left."""
-        self.loads.pop(incarnation, None)
+    def remove(self, incarnation: tuple[str, int]) -> None:
+        """Remove an incarnation that has left."""
+        self.by_incarnation.pop(incarnation, None)
--- a/src/samphirelug/components/placement/placer.py
+++ b/src/samphirelug/components/placement/placer.py
@@ -1,7 +1,8 @@
-"""Choose the server for a request, or refuse the request at once.
+"""Select the server for a request, or refuse the request at once.
 
-Answers load above capacity: a request waits only where a warm slot frees up
-soon; every other one is refused while its caller has time to come back.
+When load exceeds capacity, a request is queued only at a warm server where a
+slot frees up soon. Every other request is refused at once, while its caller
+still has time to retry.
 """
 
 from collections.abc import Callable
@@ -26,8 +27,8 @@
 from samphirelug import result_codes
 
 _LOGGER = logging.getLogger(__name__)
-# One such failure is enough to pause a server.
-_UNREACHABLE = frozenset(
+# A single failure of these kinds pauses the server.
+_UNREACHABLE_KINDS = frozenset(
     (
         backend_model.FailureKind.NOT_SENT,
         backend_model.FailureKind.LEAVING,
@@ -37,18 +38,19 @@
 
 
 class Candidate(NamedTuple):
-    """Hold a chosen server and what decided for it."""
+    """Hold a selected server and the data that led to its selection."""
 
     server: fleet_model.ServerInstance
-    # Position in the object's order of servers.
+    # Position of the server in the object's server order, from 0.
     choice: int
+    # Estimated number of requests at the server.
     estimate: float
     # None if the server has not reported its load.
     report_age_s: float | None
 
 
 class Placer:
-    """Place requests by object, load and health."""
+    """Select servers by object, load and health."""
 
     def __init__(
         self,
@@ -60,10 +62,10 @@
         self.registry = registry
         self.host_count = host_count
         self.ranking = ranking.ServerRanking(registry=registry)
-        self.loads = placement_load.LoadBook()
-        self.returns = retry_after.ReturnSchedule()
-        self.cold_gate = cold.ColdGate(host=host)
-        registry.on_removed.append(self._forget)
+        self.loads = placement_load.LoadTracker()
+        self.retry_schedule = retry_after.RetryAfterSchedule()
+        self.cold_start_limiter = cold.ColdStartLimiter(host=host)
+        registry.on_removed.append(self._remove)
 
     def choose(
         self,
@@ -74,56 +76,63 @@
         tried: Collection[str],
         now: float,
     ) -> Result[Candidate, result_codes.Refusal]:
-        """Return a server with room among the object's first servers."""
-        order = self.ranking.order(
+        """Return a server among the object's first ones that is not full."""
+        ordered_servers = self.ranking.order(
             object_key=object_key,
             service=service.name,
             regions=route.allowed_regions,
         )
-        full: list[Candidate] = []
-        for choice, server in enumerate(order):
-            if len(full) >= const.SERVERS_PER_OBJECT:
+        full_candidates: list[Candidate] = []
+        for choice, server in enumerate(ordered_servers):
+            if len(full_candidates) >= const.SERVERS_PER_OBJECT:
                 break
             if server.instance_id in tried:
                 continue
-            load = self.loads.of(server.incarnation)
-            if now < load.suspended_until_s:
+            load = self.loads.get_or_create(server.incarnation)
+            if now < load.paused_until_s:
                 continue
-            if now < server.cold_until_s and not self.cold_gate.admits(
-                server.incarnation,
-                now=now,
-                requests_per_s=service.cold_requests_per_s,
-                hosts=self.host_count(),
+            if (
+                now < server.cold_until_s
+                and not self.cold_start_limiter.allows(
+                    server.incarnation,
+                    now=now,
+                    requests_per_s=service.cold_requests_per_s,
+                    hosts=self.host_count(),
+                )
             ):
                 continue
-            ratio = const.SPILL_RATIO if full else const.FULL_RATIO
+            ratio = const.SPILL_RATIO if full_candidates else const.FULL_RATIO
             candidate = Candidate(
                 server, choice, load.estimate(now), load.report_age_s(now)
             )
             if candidate.estimate < ratio * server.slots:
                 return Success(candidate)
-            full.append(candidate)
-        if full:
-            return Failure(self._refuse_full(route, service, full, now))
-        return Failure(_refuse_unusable(order))
+            full_candidates.append(candidate)
+        if full_candidates:
+            return Failure(
+                self._refuse_full(route, service, full_candidates, now)
+            )
+        return Failure(_refuse_unusable(ordered_servers))
 
     def _refuse_full(
         self,
         route: routing_model.Route,
         service: routing_model.Service,
-        full: Collection[Candidate],
+        candidates: Collection[Candidate],
         now: float,
     ) -> result_codes.Refusal:
         loads = ", ".join(
-            f"{one.server.instance_id} has {one.estimate:.1f} requests for"
-            f" {one.server.slots} slots"
-            for one in full
+            f"{candidate.server.instance_id} has {candidate.estimate:.1f}"
+            f" requests for {candidate.server.slots} slots"
+            for candidate in candidates
+        )
+        slots = sum(
+            server.slots for server in self.registry.usable(service.name)
         )
-        slots = sum(one.slots for one in self.registry.usable(service.name))
         return result_codes.Refusal(
             result_codes.ResultCode.OVERLOADED,
-            f"no room: {loads}",
-            self.returns.next_return_s(
+            f"all candidate servers are full: {loads}",
+            self.retry_schedule.next_retry_after_s(
                 service.name,
                 priority=route.priority,
                 slots=slots / max(1, self.host_count()),
@@ -131,26 +140,26 @@
             ),
         )
 
-    def sent(
+    def record_sent(
         self,
         server: fleet_model.ServerInstance,
         *,
         service: routing_model.Service,
         now: float,
     ) -> None:
-        """Count a request that is about to be sent."""
-        self.loads.of(server.incarnation).in_flight += 1
+        """Count a request that is about to be sent to the server."""
+        self.loads.get_or_create(server.incarnation).in_flight += 1
         if now < server.cold_until_s:
-            self.cold_gate.take(
+            self.cold_start_limiter.record_request(
                 server.incarnation,
                 now=now,
                 requests_per_s=service.cold_requests_per_s,
                 hosts=self.host_count(),
             )
 
-    def ended(self, server: fleet_model.ServerInstance) -> None:
-        """Count a request that is no longer at the server."""
-        load = self.loads.loads.get(server.incarnation)
+    def record_ended(self, server: fleet_model.ServerInstance) -> None:
+        """Stop counting a request that has ended at the server."""
+        load = self.loads.by_incarnation.get(server.incarnation)
         if load is not None and load.in_flight:
             load.in_flight -= 1
 
@@ -162,27 +171,27 @@
         now: float,
         took_s: float,
     ) -> None:
-        """Learn load, health and coldness from an attempt's outcome."""
-        load = self.loads.loads.get(server.incarnation)
+        """Update load and health of the server from an attempt's outcome."""
+        load = self.loads.by_incarnation.get(server.incarnation)
         if load is None:
             return
         if isinstance(outcome, Success):
-            answered = outcome.unwrap()
-            if answered.report is not None:
-                load.observe_report(answered.report, now=now)
-            if answered.answer.status < 500:
+            success = outcome.unwrap()
+            if success.report is not None:
+                load.observe_report(success.report, now=now)
+            if success.answer.status < 500:
                 load.observe_success(took_s=took_s)
-                self.returns.observe(server.service, took_s=took_s)
+                self.retry_schedule.observe(server.service, took_s=took_s)
                 return
             self._observe_failure(server, load, now, "server error")
             return
-        failed = outcome.failure()
-        if failed.report is not None:
-            load.observe_report(failed.report, now=now)
-        if failed.failure.kind is backend_model.FailureKind.REFUSED:
-            # A full server is sound.
+        failed_attempt = outcome.failure()
+        if failed_attempt.report is not None:
+            load.observe_report(failed_attempt.report, now=now)
+        if failed_attempt.failure.kind is backend_model.FailureKind.REFUSED:
+            # A server that refuses requests because it is full is healthy.
             return
-        self._observe_failure(server, load, now, failed.failure.kind)
+        self._observe_failure(server, load, now, failed_attempt.failure.kind)
 
     def _observe_failure(
         self,
@@ -191,7 +200,7 @@
         now: float,
         reason: str,
     ) -> None:
-        unreachable = reason in _UNREACHABLE
+        unreachable = reason in _UNREACHABLE_KINDS
         if load.observe_failure(now=now, unreachable=unreachable):
             _LOGGER.info(
                 "backend server paused",
@@ -203,20 +212,20 @@
                 },
             )
 
-    def _forget(self, server: fleet_model.ServerInstance) -> None:
-        self.loads.forget(server.incarnation)
-        self.cold_gate.forget(server.incarnation)
+    def _remove(self, server: fleet_model.ServerInstance) -> None:
+        self.loads.remove(server.incarnation)
+        self.cold_start_limiter.remove(server.incarnation)
 
 
-def _refuse_unusable(order: Collection[object]) -> result_codes.Refusal:
-    if not order:
+def _refuse_unusable(servers: Collection[object]) -> result_codes.Refusal:
+    if not servers:
         return result_codes.Refusal(
             result_codes.ResultCode.NO_BACKEND_SERVER,
             "no usable server in the allowed regions",
-            const.SUSPEND_FIRST_S,
+            const.INITIAL_PAUSE_S,
         )
     return result_codes.Refusal(
         result_codes.ResultCode.BACKEND_UNREACHABLE,
-        f"all {len(order)} servers are paused, cold or were tried",
-        const.SUSPEND_FIRST_S,
+        f"all {len(servers)} servers are paused, cold or already tried",
+        const.INITIAL_PAUSE_S,
     )
--- a/src/samphirelug/components/placement/ranking.py
+++ b/src/samphirelug/components/placement/ranking.py
@@ -1,8 +1,8 @@
-"""Order servers for an object, the same on every entry host.
+"""Order the servers for an object, equally on every entry host.
 
-Answers load on objects that a server handles faster once it has handled
-them: all requests for an object go to the same few servers, with no message
-between entry hosts.
+A server handles requests for an object faster once it has handled that
+object. All requests for an object therefore go to the same few servers,
+without any messages between entry hosts.
 """
 
 from collections.abc import Iterable
@@ -18,10 +18,10 @@
 def order_servers(
     *, key: str, servers: Iterable[model.ServerInstance]
 ) -> tuple[model.ServerInstance, ...]:
-    """Order servers by region, then within the region.
+    """Order servers by region, then within each region.
 
-    Choosing the region first keeps an object in its region when servers
-    join or leave, so that few requests change region at a time.
+    Selecting the region first keeps an object in its region when servers
+    join or leave, so that few requests move between regions at a time.
     """
     by_region: dict[str, dict[str, model.ServerInstance]] = {}
     for server in servers:
@@ -31,15 +31,17 @@
         region: float(sum(server.slots for server in in_region.values()))
         for region, in_region in by_region.items()
     }
-    ordered: list[model.ServerInstance] = []
+    ordered_servers: list[model.ServerInstance] = []
     for region in rendezvous.order_by_weight(key=key, weights=region_weights):
         in_region = by_region[region]
         names = rendezvous.order_by_weight(
             key=key,
-            weights={name: float(s.slots) for name, s in in_region.items()},
+            weights={
+                name: float(server.slots) for name, server in in_region.items()
+            },
         )
-        ordered.extend(in_region[name] for name in names)
-    return tuple(ordered)
+        ordered_servers.extend(in_region[name] for name in names)
+    return tuple(ordered_servers)
 
 
 class ServerRanking:
@@ -53,7 +55,7 @@
     def order(
         self, *, object_key: str, service: str, regions: frozenset[str]
     ) -> tuple[model.ServerInstance, ...]:
-        """Return the usable servers of the regions, all if none is named."""
+        """Return the usable servers of the regions, of all if none given."""
         if (
             self.generation != self.registry.generation
             or len(self.cache) >= const.MAX_CACHED_ORDERS
@@ -61,9 +63,9 @@
             self.cache.clear()
             self.generation = self.registry.generation
         cache_key = (service, object_key, regions)
-        known = self.cache.get(cache_key)
-        if known is None:
-            known = order_servers(
+        ordered_servers = self.cache.get(cache_key)
+        if ordered_servers is None:
+            ordered_servers = order_servers(
                 key=object_key,
                 servers=[
                     server
@@ -71,5 +73,5 @@
                     if not regions or server.zone.region in regions
                 ],
             )
-            self.cache[cache_key] = known
-        return known
+            self.cache[cache_key] = ordered_servers
+        return ordered_servers
--- a/standins/simulation/placement.py
+++ b/standins/simulation/placement.py
@@ -221,7 +221,7 @@
             self._refuse(request, chosen.failure().retry_after_s)
             return
         candidate: placement_placer.Candidate = chosen.unwrap()
-        request.placer.sent(
+        request.placer.record_sent(
             candidate.server, service=self.service, now=self.now_s
         )
         sent = request._replace(sent_at_s=self.now_s)
@@ -292,7 +292,7 @@
         candidate: placement_placer.Candidate,
         outcome: forwarding_model.AttemptResult,
     ) -> None:
-        request.placer.ended(candidate.server)
+        request.placer.record_ended(candidate.server)
         request.placer.observe(
             candidate.server,
             outcome,
--- a/tests/components/placement/test_placer.py
+++ b/tests/components/placement/test_placer.py
@@ -1,4 +1,4 @@
-"""Test the choice of a server by load, health and coldness."""
+"""Test the selection of a server by load, health and cold start."""
 
 from returns.result import Failure
 from returns.result import Success
@@ -18,10 +18,10 @@
 SERVICE = build.service()
 
 
-def make(
+def make_placer(
     *servers: fleet_model.ServerInstance, hosts: int = 1
 ) -> placer.Placer:
-    """Return a placer that knows the servers."""
+    """Return a placer with the servers in its registry."""
     registry = fleet_registry.ServerRegistry()
     for server in servers:
         registry.put(server, source="test")
@@ -30,11 +30,14 @@
     )
 
 
-def choose(
-    placing: placer.Placer, *, now: float = 0.0, tried: tuple[str, ...] = ()
+def choose_server(
+    server_placer: placer.Placer,
+    *,
+    now: float = 0.0,
+    tried: tuple[str, ...] = (),
 ) -> str | result_codes.ResultCode:
-    """Return the chosen server or the code of the refusal."""
-    result = placing.choose(
+    """Return the name of the selected server or the refusal's code."""
+    result = server_placer.choose(
         route=ROUTE, service=SERVICE, object_key="x", tried=tried, now=now
     )
     if isinstance(result, Failure):
@@ -45,7 +48,9 @@
     return name
 
 
-def failed(kind: backend_model.FailureKind) -> forwarding_model.AttemptResult:
+def failed_attempt(
+    kind: backend_model.FailureKind,
+) -> forwarding_model.AttemptResult:
     """Return the outcome of a failed attempt."""
     return Failure(
         forwarding_model.AttemptFailure(backend_model.BackendFailure(kind, ""))
@@ -55,31 +60,36 @@
 def test_requests_for_an_object_stay_at_its_first_server() -> None:
     """Guard against least-loaded placement, which keeps all servers cold."""
     servers = [build.server(f"s{number}") for number in range(8)]
-    placing = make(*servers)
-    first = choose(placing)
-    chosen = next(s for s in servers if s.instance_id == first)
-    placing.sent(chosen, service=SERVICE, now=0.0)
-    placing.sent(chosen, service=SERVICE, now=0.0)
-    assert choose(placing) == first
+    server_placer = make_placer(*servers)
+    first_name = choose_server(server_placer)
+    first_server = next(
+        server for server in servers if server.instance_id == first_name
+    )
+    server_placer.record_sent(first_server, service=SERVICE, now=0.0)
+    server_placer.record_sent(first_server, service=SERVICE, now=0.0)
+    assert choose_server(server_placer) == first_name
 
 
-def test_full_servers_refuse_at_once() -> None:
-    """Guard against a request waiting where no slot frees up in time."""
+def test_request_is_refused_at_once_when_servers_are_full() -> None:
+    """Guard against queueing a request where no slot frees up in time."""
     servers = [build.server(f"s{number}") for number in range(2)]
-    placing = make(*servers)
+    server_placer = make_placer(*servers)
     for server in servers:
         for _ in range(5):
-            placing.sent(server, service=SERVICE, now=0.0)
-    assert choose(placing) is result_codes.ResultCode.OVERLOADED
+            server_placer.record_sent(server, service=SERVICE, now=0.0)
+    assert choose_server(server_placer) is result_codes.ResultCode.OVERLOADED
 
 
-def test_no_server_is_told_apart_from_full_servers() -> None:
-    """Guard against an outage that looks like load."""
-    assert choose(make()) is result_codes.ResultCode.NO_BACKEND_SERVER
+def test_missing_servers_are_distinguished_from_full_servers() -> None:
+    """Guard against reporting an outage as an overload."""
+    assert (
+        choose_server(make_placer())
+        is result_codes.ResultCode.NO_BACKEND_SERVER
+    )
 
 
-def test_load_of_other_hosts_counts_and_fades() -> None:
-    """Guard against hosts that overload a server they share."""
+def test_load_of_other_hosts_counts_and_decays() -> None:
+    """Guard against hosts that together overload a shared server."""
     server_load = load.ServerLoad()
     server_load.in_flight = 1
     server_load.observe_report(load.LoadReport(3, 2, 3), now=10.0)
@@ -89,71 +99,82 @@
 
 
 def test_unreachable_server_is_paused_and_tried_again() -> None:
-    """Guard against every request waiting for a dead server."""
+    """Guard against every request waiting for an unreachable server."""
     servers = [build.server(f"s{number}") for number in range(2)]
-    placing = make(*servers)
-    first = choose(placing)
-    chosen = next(s for s in servers if s.instance_id == first)
-    placing.sent(chosen, service=SERVICE, now=0.0)
-    placing.ended(chosen)
-    placing.observe(
-        chosen,
-        failed(backend_model.FailureKind.NOT_SENT),
+    server_placer = make_placer(*servers)
+    first_name = choose_server(server_placer)
+    first_server = next(
+        server for server in servers if server.instance_id == first_name
+    )
+    server_placer.record_sent(first_server, service=SERVICE, now=0.0)
+    server_placer.record_ended(first_server)
+    server_placer.observe(
+        first_server,
+        failed_attempt(backend_model.FailureKind.NOT_SENT),
         now=0.0,
         took_s=0.1,
     )
-    assert choose(placing) != first
-    assert choose(placing, now=60.0) == first
+    assert choose_server(server_placer) != first_name
+    assert choose_server(server_placer, now=60.0) == first_name
 
 
-def test_full_server_is_not_taken_for_a_broken_one() -> None:
-    """Guard against pausing servers when load is at its worst."""
+def test_refusals_of_a_full_server_do_not_pause_it() -> None:
+    """Guard against pausing servers when the load is highest."""
     server = build.server("s0")
-    placing = make(server)
+    server_placer = make_placer(server)
     for _ in range(10):
-        placing.sent(server, service=SERVICE, now=0.0)
-        placing.ended(server)
-        placing.observe(
+        server_placer.record_sent(server, service=SERVICE, now=0.0)
+        server_placer.record_ended(server)
+        server_placer.observe(
             server,
-            failed(backend_model.FailureKind.REFUSED),
+            failed_attempt(backend_model.FailureKind.REFUSED),
             now=0.0,
             took_s=0.1,
         )
-    assert choose(placing) == "s0"
+    assert choose_server(server_placer) == "s0"
 
 
 def test_answer_with_a_server_error_counts_as_failure() -> None:
-    """Guard against a server that fails requests keeping its objects."""
+    """Guard against sending an object's requests to a failing server."""
     server = build.server("s0")
-    placing = make(server)
+    server_placer = make_placer(server)
     answer = core.Answer(500, "", (), b"", "s0")
     for _ in range(3):
-        placing.sent(server, service=SERVICE, now=0.0)
-        placing.ended(server)
-        placing.observe(
+        server_placer.record_sent(server, service=SERVICE, now=0.0)
+        server_placer.record_ended(server)
+        server_placer.observe(
             server,
             Success(forwarding_model.AttemptAnswer(answer, None, None)),
             now=0.0,
             took_s=0.1,
         )
-    assert choose(placing) is result_codes.ResultCode.BACKEND_UNREACHABLE
+    assert (
+        choose_server(server_placer)
+        is result_codes.ResultCode.BACKEND_UNREACHABLE
+    )
 
 
-def test_hosts_share_what_a_cold_server_bears() -> None:
-    """Guard against the crash of a cold server: 10 hosts sent 10 at once."""
-    gates = [cold.ColdGate(host=f"h{number}") for number in range(10)]
+def test_hosts_share_the_request_rate_of_a_cold_server() -> None:
+    """Guard against a crash of a cold server: 10 hosts sent 10 at once."""
+    limiters = [
+        cold.ColdStartLimiter(host=f"h{number}") for number in range(10)
+    ]
     incarnation = ("s0", 1)
     times: list[float] = []
     for step in range(3000):
         now = step / 1000
-        for gate in gates:
-            if gate.admits(incarnation, now=now, requests_per_s=2.7, hosts=10):
-                gate.take(incarnation, now=now, requests_per_s=2.7, hosts=10)
+        for limiter in limiters:
+            if limiter.allows(
+                incarnation, now=now, requests_per_s=2.7, hosts=10
+            ):
+                limiter.record_request(
+                    incarnation, now=now, requests_per_s=2.7, hosts=10
+                )
                 times.append(now)
-    most = max(
-        sum(1 for other in times if start <= other < start + 1.0)
+    max_per_s = max(
+        sum(1 for time_s in times if start <= time_s < start + 1.0)
         for start in times
     )
-    # The bound of a deployment: 2.7 x 1.5 + 5.
-    assert most <= 9
+    # Limit of a deployment: 2.7 x 1.5 + 5.
+    assert max_per_s <= 9
     assert times
--- a/tests/components/placement/test_ranking.py
+++ b/tests/components/placement/test_ranking.py
@@ -26,16 +26,16 @@
 
 
 def test_order_does_not_depend_on_the_order_of_the_input() -> None:
-    """Guard against entry hosts choosing different servers."""
+    """Guard against entry hosts selecting different servers for an object."""
     for key in KEYS[:20]:
-        forwards = ranking.order_servers(key=key, servers=SERVERS)
-        assert forwards == ranking.order_servers(
+        ordered_servers = ranking.order_servers(key=key, servers=SERVERS)
+        assert ordered_servers == ranking.order_servers(
             key=key, servers=reversed(SERVERS)
         )
 
 
-def test_objects_spread_by_slots() -> None:
-    """Guard against one server or region getting most objects."""
+def test_objects_are_distributed_by_slots() -> None:
+    """Guard against one server or region getting most of the objects."""
     per_region = collections.Counter(
         name[0] for name in first_servers(list(SERVERS)).values()
     )
@@ -44,27 +44,27 @@
         assert 0.7 * expected < per_region[region] < 1.3 * expected
 
 
-def test_a_server_that_leaves_moves_only_its_objects() -> None:
-    """Guard against a departure making all servers cold."""
+def test_removed_server_moves_only_its_own_objects() -> None:
+    """Guard against a removed server making all other servers cold."""
     before = first_servers(list(SERVERS))
-    gone = SERVERS[5]
-    after = first_servers([one for one in SERVERS if one != gone])
+    removed = SERVERS[5]
+    after = first_servers([server for server in SERVERS if server != removed])
     moved = [key for key in KEYS if before[key] != after[key]]
-    owned = [key for key in KEYS if before[key] == gone.instance_id]
-    # Its region has less weight, so a few objects move to other regions.
+    owned = [key for key in KEYS if before[key] == removed.instance_id]
+    # The region loses weight, so a few more objects move to other regions.
     assert len(moved) <= 2 * len(owned)
     assert set(owned) <= set(moved)
 
 
 def test_second_server_is_in_the_region_of_the_first() -> None:
-    """Guard against spilled requests shifting traffic between regions."""
+    """Guard against spilled requests moving traffic between regions."""
     for key in KEYS[:50]:
         first, second = ranking.order_servers(key=key, servers=SERVERS)[:2]
         assert first.zone.region == second.zone.region
 
 
-def test_regions_bound_the_order() -> None:
-    """Guard against a route with homes leaving them."""
+def test_order_has_only_servers_of_the_allowed_regions() -> None:
+    """Guard against requests leaving the allowed regions of their route."""
     registry = fleet_registry.ServerRegistry()
     for server in SERVERS:
         registry.put(server, source="test")
@@ -75,20 +75,20 @@
 
 
 def test_cached_order_follows_the_registry() -> None:
-    """Guard against requests going to a server that has left."""
+    """Guard against requests to a server that was removed."""
     registry = fleet_registry.ServerRegistry()
     for server in SERVERS:
         registry.put(server, source="test")
-    cached = ranking.ServerRanking(registry=registry)
+    server_ranking = ranking.ServerRanking(registry=registry)
 
-    def order() -> list[str]:
+    def ordered_names() -> list[str]:
         return [
             server.instance_id
-            for server in cached.order(
+            for server in server_ranking.order(
                 object_key="x", service="desk", regions=frozenset()
             )
         ]
 
-    first = order()[0]
+    first = ordered_names()[0]
     registry.remove(first, now=0.0, grace_s=0.0, source="test")
-    assert first not in order()
+    assert first not in ordered_names()
--- a/tests/components/placement/test_replay.py
+++ b/tests/components/placement/test_replay.py
@@ -1,7 +1,7 @@
-"""Replay loads against the placement, with and without each decision.
+"""Replay load patterns with and without each placement mechanism.
 
-Each test names the load that a decision answers, takes the decision out, and
-compares what callers get over the same arrivals.
+Each test names the load pattern that a mechanism is made for, disables the
+mechanism, and compares the results of callers for the same arrivals.
 """
 
 from collections.abc import Sequence
@@ -16,8 +16,9 @@
 from standins.simulation import placement as replay
 
 SEEDS = (1, 2, 3)
-# Callers of a portal: many short look-ups, fewer long submissions. Cold
-# requests need more than the slots, warm ones less than half of them.
+# Callers of a portal send many short look-ups and fewer long submissions. If
+# all requests were cold, they would need more than the available slots; if
+# all were warm, less than half of them.
 LOOKUP = replay.Kind(
     build.route(name="lookup", path_prefix="/lookup/"), 80.0, 0.64, 72, 3.0
 )
@@ -30,21 +31,21 @@
     72,
     4.0,
 )
-RUSH = replay.Phase("lookup", 12.0, 16.0, 4.0)
-# Fills the servers of some objects, while others have free slots.
-UNEVEN = replay.Phase("lookup", 12.0, 16.0, 1.7)
+BURST = replay.Phase("lookup", 12.0, 16.0, 4.0)
+# Fills the servers of some objects, while other servers have free slots.
+UNEVEN_BURST = replay.Phase("lookup", 12.0, 16.0, 1.7)
 
 
-def run(
+def replay_load(
     *,
     phases: Sequence[replay.Phase] = (),
     seconds: float = 24.0,
     least_loaded: bool = False,
 ) -> list[replay.Report]:
-    """Replay the portal's load for each seed."""
+    """Replay the load of the portal for each seed."""
     reports = []
     for seed in SEEDS:
-        one = replay.Replay(
+        portal = replay.Replay(
             kinds=(LOOKUP, SUBMIT),
             servers=16,
             hosts=10,
@@ -52,23 +53,25 @@
             phases=phases,
         )
         if least_loaded:
-            for placing in one.placers:
-                placing.ranking = LeastLoaded(placing=placing)
-        reports.append(one.run(seconds))
+            for server_placer in portal.placers:
+                server_placer.ranking = LeastLoaded(
+                    server_placer=server_placer
+                )
+        reports.append(portal.run(seconds))
     return reports
 
 
-def share(reports: Sequence[replay.Report], result: str) -> float:
-    """Return the mean share of a result."""
-    return sum(one.share(result) for one in reports) / len(reports)
+def mean_share(reports: Sequence[replay.Report], result: str) -> float:
+    """Return the share of callers with a result, averaged over reports."""
+    return sum(report.share(result) for report in reports) / len(reports)
 
 
 class LeastLoaded(ranking.ServerRanking):
-    """Order servers by load, whatever the object."""
+    """Order servers by load, independently of the object."""
 
-    def __init__(self, *, placing: placer.Placer) -> None:
-        super().__init__(registry=placing.registry)
-        self.placing = placing
+    def __init__(self, *, server_placer: placer.Placer) -> None:
+        super().__init__(registry=server_placer.registry)
+        self.server_placer = server_placer
 
     def order(
         self,
@@ -81,79 +84,89 @@
         return tuple(
             sorted(
                 self.registry.usable(service),
-                key=lambda one: (
-                    self.placing.loads.of(one.incarnation).in_flight
+                key=lambda server: (
+                    self.server_placer.loads.get_or_create(
+                        server.incarnation
+                    ).in_flight
                 ),
             )
         )
 
 
 def test_objects_keep_their_servers_warm() -> None:
-    """Load: requests for few objects that known servers handle faster.
+    """Load: requests for a few objects that warm servers handle faster.
 
-    Guards against spreading by load alone, which keeps every server cold.
+    Guards against placement by load alone, which keeps every server cold.
     """
-    placed, spread = run(), run(least_loaded=True)
-    assert sum(one.first_visits for one in placed) < 0.5 * sum(
-        one.first_visits for one in spread
+    by_object, by_load = replay_load(), replay_load(least_loaded=True)
+    assert sum(report.first_visits for report in by_object) < 0.5 * sum(
+        report.first_visits for report in by_load
+    )
+    assert mean_share(by_object, "in target") > mean_share(
+        by_load, "in target"
     )
-    assert share(placed, "in target") > share(spread, "in target")
 
 
-def test_rush_is_refused_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Load: a rush of four times the usual look-ups.
+def test_burst_is_refused_early(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Load: a burst of four times the usual look-ups.
 
-    Guards against queues in which every request is answered late.
+    Guards against queues so long that every request is answered late.
     """
-    bounded = run(phases=[RUSH])
+    bounded = replay_load(phases=[BURST])
     monkeypatch.setattr(const, "FULL_RATIO", 100.0)
-    queued = run(phases=[RUSH])
-    assert share(bounded, "in target") > share(queued, "in target")
+    queued = replay_load(phases=[BURST])
+    assert mean_share(bounded, "in target") > mean_share(queued, "in target")
 
 
 def test_second_server_takes_what_the_first_cannot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Load: a rise that fills the servers of some objects only.
+    """Load: an increase that fills only the servers of some objects.
 
     Guards against refusals while other servers have free slots.
     """
-    two = run(phases=[UNEVEN])
+    two_servers = replay_load(phases=[UNEVEN_BURST])
     monkeypatch.setattr(const, "SERVERS_PER_OBJECT", 1)
-    one = run(phases=[UNEVEN])
-    assert share(two, "refused") < share(one, "refused")
-    assert share(two, "in target") > share(one, "in target")
+    one_server = replay_load(phases=[UNEVEN_BURST])
+    assert mean_share(two_servers, "refused") < mean_share(
+        one_server, "refused"
+    )
+    assert mean_share(two_servers, "in target") > mean_share(
+        one_server, "in target"
+    )
 
 
-def test_reports_of_other_hosts_load_last_as_long_as_requests(
+def test_load_reports_decay_no_faster_than_requests_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Load: ten hosts that each send a server little, and together too much.
 
-    Guards against a host that forgets the others' requests while they still
-    run, and queues its own behind them.
+    Guards against a host that ignores the requests of other hosts while they
+    still run, so that its own are queued behind them.
     """
-    remembered = run(phases=[RUSH])
-    monkeypatch.setattr(const, "REPORT_HALF_LIFE", 0.3)
-    forgotten = run(phases=[RUSH])
-    assert share(remembered, "in target") > share(forgotten, "in target")
+    slow_decay = replay_load(phases=[BURST])
+    monkeypatch.setattr(const, "REPORT_HALF_LIFE_FACTOR", 0.3)
+    fast_decay = replay_load(phases=[BURST])
+    assert mean_share(slow_decay, "in target") > mean_share(
+        fast_decay, "in target"
+    )
 
 
-def test_refused_callers_do_not_come_back_together() -> None:
-    """Load: callers that are refused in a rush and come back when told.
+def test_refused_callers_do_not_retry_together() -> None:
+    """Load: callers that are refused in a burst and retry when told to.
 
-    Guards against a second rush, at the time that all were told.
+    Guards against a second burst at a retry time that all were given.
     """
-    for report in run(phases=[RUSH]):
+    for report in replay_load(phases=[BURST]):
         times = sorted(report.return_times_s)
         assert len(times) > 20
-        together = max(
-            sum(1 for other in times if one <= other < one + 0.01)
-            for one in times
+        max_together = max(
+            sum(1 for time_s in times if start <= time_s < start + 0.01)
+            for start in times
         )
-        assert together < 0.1 * len(times)
+        assert max_together < 0.1 * len(times)
 
 
 def test_replay_repeats_exactly() -> None:
-    """Guard against a comparison of different arrivals."""
-    assert run() == run()
+    """Guard against comparing results for different arrivals."""
+    assert replay_load() == replay_load()
--- a/tests/components/placement/test_retry_after.py
+++ b/tests/components/placement/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Test when refused callers are told to come back."""
+"""Test the retry times that are given to refused callers."""
 
 import itertools
 
@@ -6,52 +6,57 @@
 from samphirelug.components.placement import retry_after
 
 
-def returns(
+def retry_times(
     count: int, *, priority: int = 0, slots: float = 4.0
 ) -> list[float]:
-    """Return the times given to callers that are refused at once."""
-    schedule = retry_after.ReturnSchedule()
+    """Return the retry times of callers that are refused together."""
+    schedule = retry_after.RetryAfterSchedule()
     for _ in range(200):
         schedule.observe("desk", took_s=0.2)
     return [
-        schedule.next_return_s(
+        schedule.next_retry_after_s(
             "desk", priority=priority, slots=slots, now=10.0
         )
         for _ in range(count)
     ]
 
 
-def test_callers_refused_together_come_back_one_by_one() -> None:
-    """Guard against a second rush when all refused callers return."""
-    times = returns(8)
+def test_callers_refused_together_retry_one_by_one() -> None:
+    """Guard against a second burst when all refused callers retry."""
+    times = retry_times(8)
     gaps = [after - before for before, after in itertools.pairwise(times)]
     assert min(gaps) > 0.04
 
 
-def test_no_caller_is_told_to_wait_for_longer_than_it_will() -> None:
-    """Guard against a time that callers cut short, all at the same point."""
-    times = returns(500, priority=3)
+def test_retry_times_stay_within_their_bounds() -> None:
+    """Guard against retry times beyond what callers wait for.
+
+    Callers cut such a time short, all at the same point.
+    """
+    times = retry_times(500, priority=3)
     assert max(times) <= const.MAX_RETRY_AFTER_S
     assert min(times) >= const.MIN_RETRY_AFTER_S
 
 
-def test_less_urgent_callers_come_back_behind_urgent_ones() -> None:
-    """Guard against urgent callers who find the freed slot taken."""
-    assert returns(1, priority=2)[0] > returns(1, priority=0)[0]
+def test_less_urgent_callers_retry_after_urgent_ones() -> None:
+    """Guard against a less urgent caller taking the slot that frees up."""
+    assert retry_times(1, priority=2)[0] > retry_times(1, priority=0)[0]
 
 
-def test_returns_follow_the_time_that_requests_take() -> None:
-    """Guard against returns before a slot of a slow service frees up."""
-    schedule = retry_after.ReturnSchedule()
+def test_retry_times_follow_the_service_time() -> None:
+    """Guard against retries before a slot of a slow service frees up."""
+    schedule = retry_after.RetryAfterSchedule()
     for _ in range(200):
         schedule.observe("slow", took_s=2.0)
         schedule.observe("fast", took_s=0.1)
-    spread = {
+    times = {
         service: [
-            schedule.next_return_s(service, priority=0, slots=4.0, now=0.0)
+            schedule.next_retry_after_s(
+                service, priority=0, slots=4.0, now=0.0
+            )
             for _ in range(2)
         ]
         for service in ("slow", "fast")
     }
-    slow, fast = spread["slow"], spread["fast"]
+    slow, fast = times["slow"], times["fast"]
     assert slow[1] - slow[0] > fast[1] - fast[0]
