--- a/src/samphirelug/components/admission/const.py
+++ b/src/samphirelug/components/admission/const.py
@@ -8,8 +8,8 @@
 QUEUE_WORK_FRACTION = 0.5
 
 # Interval at which queued requests are checked for expired deadlines, and for
-# capacity that becomes available without a callback (slow start, probes, end
-# of a linger time).
+# capacity that becomes available without a callback (slow start, probes, units
+# awaiting release).
 QUEUE_CHECK_INTERVAL_S = 0.02
 
 # A request may be served outside its home region if its wait there is longer.
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -57,7 +57,7 @@
     rank: core.Rank
     service: str
     granted_at_s: float
-    # Units by pool, released when the permit ends or after their linger time.
+    # Units by pool, freed with the permit or after the release delay of a key.
     units: tuple[quota_model.UnitAmount, ...]
 
 
@@ -614,10 +614,10 @@
                 amount = min(reserved, link_bytes[key])
                 self.ledger.shrink(permit.hold_id, key, amount)
                 self.usage.add(key, active.rank, amount - reserved)
-            linger_s = self.ledger.linger_s(key) or 0.0
-            if orphaned or linger_s:
+            release_delay_s = self.ledger.release_delay_s(key) or 0.0
+            if orphaned or release_delay_s:
                 self.usage.end_at(
-                    key, active.rank, amount, ends_at_s + linger_s
+                    key, active.rank, amount, ends_at_s + release_delay_s
                 )
             else:
                 self.usage.add(key, active.rank, -amount)
@@ -921,7 +921,7 @@
         rank_queue = self.queues[flow.rank]
         queued_ahead = rank_queue.by_service_region.get(service_region, 0)
         concurrency = 0.0
-        linger_s = 0.0
+        release_delay_s = 0.0
         if shortage is None:
             pass
         elif shortage.code is Code.OVERLOADED:
@@ -930,13 +930,15 @@
             concurrency = self.ledger.usable(shortage.key) / max(
                 1, shortage.needed
             )
-            linger_s = quota_const.LINK_LINGER_S
+            release_delay_s = quota_const.LINK_RELEASE_DELAY_S
         else:
             concurrency = float(self.ledger.usable(shortage.key))
             if shortage.code is Code.WORK_LIMIT:
                 queued_ahead = rank_queue.by_work.get(flow.key.work, 0)
             if shortage.code is Code.SHIFT_CAP:
-                linger_s = self.ledger.linger_s(shortage.key) or 0.0
+                release_delay_s = (
+                    self.ledger.release_delay_s(shortage.key) or 0.0
+                )
         if concurrency <= 0.0 and not self._is_backlogged(flow, now):
             # Without own units only the dispatch rate is known. It reflects
             # the demand, not the capacity, until requests have to queue.
@@ -953,7 +955,7 @@
             queued_ahead=queued_ahead,
             guaranteed_fraction=guaranteed_fraction,
             concurrency=concurrency,
-            linger_s=linger_s,
+            release_delay_s=release_delay_s,
             now=now,
         )
 
--- a/src/samphirelug/components/admission/estimate.py
+++ b/src/samphirelug/components/admission/estimate.py
@@ -88,7 +88,7 @@
         queued_ahead: int,
         guaranteed_fraction: float,
         concurrency: float,
-        linger_s: float,
+        release_delay_s: float,
         now: float,
     ) -> float:
         """Return the expected wait behind queued requests, in seconds.
@@ -103,7 +103,8 @@
             rate.per_second(now) for rate in self.rates.get(service_region, ())
         ]
         total = max(
-            concurrency / (self.service_time_s(service_region[0]) + linger_s),
+            concurrency
+            / (self.service_time_s(service_region[0]) + release_delay_s),
             sum(rates),
         )
         rate = max(guaranteed_fraction * total, total - sum(rates[:rank]))
--- a/src/samphirelug/components/admission/scheduler.py
+++ b/src/samphirelug/components/admission/scheduler.py
@@ -44,7 +44,7 @@
 
 
 class RankUsage:
-    """Count units in use or lingering, by pool and rank."""
+    """Count units by pool and rank: in use and awaiting release."""
 
     def __init__(self) -> None:
         self.pools: dict[str, list[int]] = {}
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -412,6 +412,6 @@
         await harness.advance(12.0, step_s=0.5)
         assert all(task.done() for task in tasks)
         assert harness.admission.queued() == (0, 0, 0)
-        assert harness.ledger.taken_keys() == ()
+        assert harness.ledger.keys_in_use() == ()
 
     run(test())
