--- a/src/samphirelug/components/forwarding/__init__.py
+++ b/src/samphirelug/components/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Carry requests to backend servers and decide on another attempt."""
+"""Send requests to backend servers and decide on further attempts."""
--- a/src/samphirelug/components/forwarding/const.py
+++ b/src/samphirelug/components/forwarding/const.py
@@ -1,19 +1,24 @@
-"""Hold thresholds of the attempt loop."""
+"""Define constants of request forwarding."""
 
-# With less time left than this, another attempt cannot succeed.
+# Minimum remaining time for another attempt; with less it cannot succeed.
 MIN_ATTEMPT_TIME_S = 0.02
-# Used where a caller names no deadline and the route's timeout is longer.
+# Upper bound of a request's duration, used when neither the caller's deadline
+# nor the route's timeout is shorter.
 MAX_REQUEST_S = 60.0
-# Part of the shared retry budget that is kept unused, since entry hosts do
-# not count each other's requests.
-BUDGET_MARGIN = 0.8
-# Times that one request is sent, servers that are tried again included.
+# Fraction of the shared retry budget that the entry hosts use. The rest is
+# reserved, since hosts do not count each other's requests.
+USABLE_BUDGET_RATIO = 0.8
+# Maximum number of times that one request is sent, including repeated sends
+# to the same server.
 MAX_SENDS = 3
-# Time in which another server is likely to have become usable.
-BUDGET_RETRY_AFTER_S = 0.25
-# A host that has just started reads its configuration in about this time.
+# Retry-After time once attempts have failed: another server is likely to
+# have become usable by then.
+ATTEMPT_FAILED_RETRY_AFTER_S = 0.25
+# Retry-After time while the host starts; it takes about this long to read its
+# configuration.
 STARTING_RETRY_AFTER_S = 0.3
-# Lines a second for requests that got their answer; the others are counted.
-ANSWERED_LINES_PER_S = 50
-# Lines a second for requests that were refused or failed.
-FAILED_LINES_PER_S = 100
+# Maximum log lines per second for answered requests; lines beyond it are
+# counted.
+ANSWERED_LOG_LINES_PER_S = 50
+# Maximum log lines per second for refused or failed requests.
+FAILED_LOG_LINES_PER_S = 100
--- a/src/samphirelug/components/forwarding/forwarder.py
+++ b/src/samphirelug/components/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Carry a request to a server, and decide on further attempts."""
+"""Send a request to a server and decide on further attempts."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -21,7 +21,7 @@
 from samphirelug import result_codes
 
 RequestResult = Result[core.Answer, result_codes.Refusal]
-# The server may have run the request; the code tells the caller so.
+# Result codes for failures after which the server may have run the request.
 _UNKNOWN_OUTCOME = {
     backend_model.FailureKind.TIMEOUT: result_codes.ResultCode.BACKEND_TIMEOUT,
     backend_model.FailureKind.RESET: result_codes.ResultCode.BACKEND_RESET,
@@ -34,21 +34,21 @@
 }
 
 
-class _Progress(NamedTuple):
-    """Hold what the attempts so far have brought."""
+class _AttemptSummary(NamedTuple):
+    """Summarize the outcomes of the attempts made so far."""
 
-    # The answer of a server that failed to run the request.
-    failed_answer: core.Answer | None = None
-    # Set when a server may have run the request.
-    unknown: result_codes.Refusal | None = None
-    # Set when every attempt was certainly not run.
+    # Answer with a server error, status 500 or above.
+    error_answer: core.Answer | None = None
+    # Set if a server may have run the request.
+    unknown_outcome: result_codes.Refusal | None = None
+    # Set if an attempt was certainly not run; the newest such attempt counts.
     not_run: result_codes.Refusal | None = None
-    # Whether a server has received the request, also if it refused it.
-    arrived: bool = False
+    # Whether a server has received the request, even if it refused it.
+    reached_server: bool = False
 
 
 class Forwarder:
-    """Run the attempts of each request."""
+    """Forward requests to backend servers, with retries."""
 
     def __init__(
         self,
@@ -73,14 +73,14 @@
     def find_route(
         self, *, hostname: str, target: str
     ) -> routing_model.Route | None:
-        """Return the route in force for a request."""
+        """Return the route for a request, None if there is no match."""
         if self.configuration.table is None:
             return None
         path = target.partition("?")[0]
         return self.configuration.table.find(hostname=hostname, path=path)
 
     async def forward(self, request: model.ReceivedRequest) -> RequestResult:
-        """Return the answer of a server or why there is none."""
+        """Return a server's answer or the reason why there is none."""
         trace = request_log.RequestTrace(
             request=request,
             configuration=self.configuration,
@@ -99,36 +99,38 @@
         request: model.ReceivedRequest,
         trace: request_log.RequestTrace,
     ) -> RequestResult:
-        current = self.configuration.table
-        if current is None:
+        route_table = self.configuration.table
+        if route_table is None:
             return _refuse(
                 result_codes.ResultCode.NO_CATALOGUE,
-                "no configuration yet",
+                "no configuration received yet",
                 const.STARTING_RETRY_AFTER_S,
             )
-        route = current.find(hostname=request.hostname, path=request.path)
+        route = route_table.find(hostname=request.hostname, path=request.path)
         if route is None:
             return _refuse(
                 result_codes.ResultCode.UNKNOWN_PATH,
-                "no route has this host name and path",
+                "no route matches the host name and path",
             )
         trace.route = route
         object_key = _object_key(request, route)
-        service = current.configuration.services[
+        service = route_table.configuration.services[
             self.split.pick(route, object_key=object_key)
         ]
         trace.service = service.name
-        self.retries.count_first(service.name, now=self.timer.monotonic())
+        self.retries.record_first_attempt(
+            service.name, now=self.timer.monotonic()
+        )
         deadline_at_s = request.received_at_s + min(
             route.timeout_s, const.MAX_REQUEST_S
         )
         if request.deadline_at_s is not None:
             deadline_at_s = min(deadline_at_s, request.deadline_at_s)
-        return await self._attempts(
+        return await self._run_attempts(
             request, route, service, object_key, deadline_at_s, trace
         )
 
-    async def _attempts(
+    async def _run_attempts(
         self,
         request: model.ReceivedRequest,
         route: routing_model.Route,
@@ -138,38 +140,38 @@
         trace: request_log.RequestTrace,
     ) -> RequestResult:
         tried: set[str] = set()
-        sent = 0
-        progress = _Progress()
+        send_count = 0
+        summary = _AttemptSummary()
         while True:
             now = self.timer.monotonic()
             if deadline_at_s - now < const.MIN_ATTEMPT_TIME_S:
                 refusal = result_codes.Refusal(
                     result_codes.ResultCode.DEADLINE_EXPIRED,
-                    "no time is left for an attempt",
+                    "the remaining time is too short for an attempt",
                 )
-                return _conclude(progress, refusal)
-            placed = self.placer.choose(
+                return _final_result(summary, refusal)
+            placement = self.placer.choose(
                 route=route,
                 service=service,
                 object_key=object_key,
                 tried=tried,
                 now=now,
             )
-            if isinstance(placed, Failure):
-                return _conclude(progress, placed.failure())
-            if progress.arrived and not self.retries.take(
+            if isinstance(placement, Failure):
+                return _final_result(summary, placement.failure())
+            if summary.reached_server and not self.retries.try_acquire(
                 service.name, now=now, hosts=self.host_count()
             ):
                 refusal = result_codes.Refusal(
                     result_codes.ResultCode.RETRY_BUDGET_EMPTY,
-                    "the budget for repeated attempts is used up",
-                    const.BUDGET_RETRY_AFTER_S,
+                    "the retry budget is used up",
+                    const.ATTEMPT_FAILED_RETRY_AFTER_S,
                 )
-                return _conclude(progress, refusal)
-            candidate = placed.unwrap()
+                return _final_result(summary, refusal)
+            candidate = placement.unwrap()
             tried.add(candidate.server.instance_id)
-            sent += 1
-            outcome = await self._attempt(
+            send_count += 1
+            outcome = await self._run_attempt(
                 model.Attempt(
                     request, candidate.server, deadline_at_s, route.idempotent
                 ),
@@ -181,22 +183,26 @@
                 answer = outcome.unwrap().answer
                 if answer.status < 500 or not route.idempotent:
                     return Success(answer)
-                progress = progress._replace(
-                    failed_answer=answer, arrived=True
+                summary = summary._replace(
+                    error_answer=answer, reached_server=True
                 )
             else:
-                failed = outcome.failure()
-                progress = _add_failure(progress, failed.failure)
+                failed_attempt = outcome.failure()
+                summary = _add_failure(summary, failed_attempt.failure)
                 if not (
-                    failed.failure.kind.certainly_not_run or route.idempotent
+                    failed_attempt.failure.kind.certainly_not_run
+                    or route.idempotent
                 ):
-                    return _conclude(progress, None)
-                if failed.refused_with_room:
+                    return _final_result(summary, None)
+                if failed_attempt.refused_with_free_slot:
                     tried.discard(candidate.server.instance_id)
-            if len(tried) >= route.max_attempts or sent >= const.MAX_SENDS:
-                return _conclude(progress, None)
+            if (
+                len(tried) >= route.max_attempts
+                or send_count >= const.MAX_SENDS
+            ):
+                return _final_result(summary, None)
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         attempt: model.Attempt,
         candidate: placement_placer.Candidate,
@@ -205,22 +211,22 @@
     ) -> model.AttemptResult:
         sent_at_s = self.timer.monotonic()
         self.placer.record_sent(attempt.server, service=service, now=sent_at_s)
-        entry = trace.add_attempt(candidate, now=sent_at_s)
+        record = trace.add_attempt(candidate, now=sent_at_s)
         try:
             outcome = await self.sender.send(attempt)
         finally:
             self.placer.record_ended(attempt.server)
         now = self.timer.monotonic()
-        entry.ended_at_s = now
+        record.ended_at_s = now
         self.placer.observe(
             attempt.server, outcome, now=now, took_s=now - sent_at_s
         )
         if isinstance(outcome, Success):
-            entry.outcome = str(outcome.unwrap().answer.status)
+            record.outcome = str(outcome.unwrap().answer.status)
         else:
             failure = outcome.failure().failure
-            entry.outcome = failure.kind.value
-            entry.detail = failure.detail
+            record.outcome = failure.kind.value
+            record.detail = failure.detail
         return outcome
 
 
@@ -233,10 +239,10 @@
 
 
 def _add_failure(
-    progress: _Progress, failure: backend_model.BackendFailure
-) -> _Progress:
+    summary: _AttemptSummary, failure: backend_model.BackendFailure
+) -> _AttemptSummary:
     if failure.kind is not backend_model.FailureKind.NOT_SENT:
-        progress = progress._replace(arrived=True)
+        summary = summary._replace(reached_server=True)
     if failure.kind.certainly_not_run:
         code = (
             result_codes.ResultCode.BACKEND_UNREACHABLE
@@ -244,29 +250,33 @@
             else result_codes.ResultCode.BACKEND_REFUSED
         )
         refusal = result_codes.Refusal(
-            code, failure.detail, const.BUDGET_RETRY_AFTER_S
+            code, failure.detail, const.ATTEMPT_FAILED_RETRY_AFTER_S
         )
-        return progress._replace(not_run=refusal)
+        return summary._replace(not_run=refusal)
     code = _UNKNOWN_OUTCOME.get(
         failure.kind, result_codes.ResultCode.BACKEND_RESET
     )
-    return progress._replace(
-        unknown=result_codes.Refusal(code, failure.detail)
+    return summary._replace(
+        unknown_outcome=result_codes.Refusal(code, failure.detail)
     )
 
 
-def _conclude(
-    progress: _Progress, refusal: result_codes.Refusal | None
+def _final_result(
+    summary: _AttemptSummary, refusal: result_codes.Refusal | None
 ) -> RequestResult:
-    """Return the strongest result that is true for all attempts."""
-    if progress.failed_answer is not None:
-        return Success(progress.failed_answer)
-    if progress.unknown is not None:
-        return Failure(progress.unknown)
+    """Return the result that holds for all attempts together.
+
+    An answer comes first, then an unknown outcome, then a refusal, which
+    states that no server has run the request.
+    """
+    if summary.error_answer is not None:
+        return Success(summary.error_answer)
+    if summary.unknown_outcome is not None:
+        return Failure(summary.unknown_outcome)
     if refusal is not None:
         return Failure(refusal)
-    assert progress.not_run is not None
-    return Failure(progress.not_run)
+    assert summary.not_run is not None
+    return Failure(summary.not_run)
 
 
 def _refuse(
--- a/src/samphirelug/components/forwarding/model.py
+++ b/src/samphirelug/components/forwarding/model.py
@@ -1,4 +1,4 @@
-"""Define what the attempt loop receives, sends and returns."""
+"""Define the requests, attempts and results of forwarding."""
 
 import abc
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """Hold one whole request of a caller."""
+    """Hold a completely received request of a caller."""
 
     request_id: str
     method: str
@@ -25,7 +25,7 @@
     body: bytes
     affinity_key: str
     received_at_s: float
-    # On the entry host's monotonic clock; None if the caller names none.
+    # On the entry host's monotonic clock; None if the caller sent none.
     deadline_at_s: float | None
 
     @property
@@ -35,35 +35,35 @@
 
 
 class Attempt(NamedTuple):
-    """Hold a request that goes to one server."""
+    """Hold a request and the server that it is sent to."""
 
     request: ReceivedRequest
     server: fleet_model.ServerInstance
-    # The server stops work at this time.
+    # The server stops work at this time, on the entry host's monotonic clock.
     deadline_at_s: float
     idempotent: bool
 
 
 class AttemptAnswer(NamedTuple):
-    """Hold a server's whole answer and what it says of the server."""
+    """Hold a server's complete answer and the load that it reports."""
 
     answer: core.Answer
     report: placement_load.LoadReport | None
-    # Seconds for which the server stays cold; None if it does not say.
+    # Seconds for which the server stays cold; None if it does not report it.
     cold_s: float | None
 
 
 class AttemptFailure(NamedTuple):
-    """Hold why an attempt brought no answer."""
+    """Hold the reason why an attempt has no answer."""
 
     failure: backend_model.BackendFailure
     report: placement_load.LoadReport | None = None
 
     @property
-    def refused_with_room(self) -> bool:
-        """Return whether the server refused with a free slot.
+    def refused_with_free_slot(self) -> bool:
+        """Return whether the server refused although it had a free slot.
 
-        It fails some requests by chance, and may take the next one.
+        Such a server fails some requests at random and may accept the next.
         """
         return (
             self.failure.kind is backend_model.FailureKind.REFUSED
@@ -80,7 +80,8 @@
 
     @abc.abstractmethod
     async def send(self, attempt: Attempt) -> AttemptResult:
-        """Return the whole answer or why there is none.
+        """Return the complete answer or the reason why there is none.
 
-        Cancelling the call closes the connection, which cancels the work.
+        Cancelling the call closes the connection, which stops the server's
+        work on the request.
         """
--- a/src/samphirelug/components/forwarding/request_log.py
+++ b/src/samphirelug/components/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""Write one log line for each request, with what decided its outcome."""
+"""Write one log line for each request, with the reasons for its result."""
 
 import logging
 from typing import Any
@@ -18,8 +18,8 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class AttemptEntry:
-    """Hold one attempt's inputs and outcome."""
+class AttemptRecord:
+    """Record the input and the outcome of one attempt."""
 
     def __init__(
         self, *, candidate: placer.Candidate, started_at_s: float
@@ -31,7 +31,7 @@
         self.detail = ""
 
     def fields(self, now: float) -> dict[str, Any]:
-        """Return the fields of the log line."""
+        """Return the attempt's fields for the log line."""
         ended_at_s = self.ended_at_s or now
         fields: dict[str, Any] = {
             "server": self.candidate.server.instance_id,
@@ -49,7 +49,7 @@
 
 
 class RequestTrace:
-    """Collect what was decided for one request."""
+    """Collect the routing decisions and attempts of one request."""
 
     def __init__(
         self,
@@ -63,18 +63,18 @@
         self.version_age_s = started_at_s - configuration.applied_at_s
         self.route: routing_model.Route | None = None
         self.service = ""
-        self.attempts: list[AttemptEntry] = []
+        self.attempts: list[AttemptRecord] = []
 
     def add_attempt(
         self, candidate: placer.Candidate, *, now: float
-    ) -> AttemptEntry:
-        """Add an attempt that is about to be sent."""
-        entry = AttemptEntry(candidate=candidate, started_at_s=now)
-        self.attempts.append(entry)
-        return entry
+    ) -> AttemptRecord:
+        """Record an attempt that is about to be sent."""
+        record = AttemptRecord(candidate=candidate, started_at_s=now)
+        self.attempts.append(record)
+        return record
 
     def fields(self, now: float) -> dict[str, Any]:
-        """Return the fields of the log line."""
+        """Return the request's fields for the log line."""
         return {
             "request_id": self.request.request_id[:128],
             "route": self.route.name if self.route else "",
@@ -83,41 +83,45 @@
             "version": self.version,
             "version_age_s": round(self.version_age_s, 3),
             "took_ms": _milliseconds(now - self.request.received_at_s),
-            "attempts": [entry.fields(now) for entry in self.attempts],
+            "attempts": [record.fields(now) for record in self.attempts],
         }
 
 
-class LineAllowance:
-    """Bound lines a second, and count the lines left out."""
+class LogRateLimiter:
+    """Limit log lines per second and count the lines that are left out."""
 
     def __init__(self, *, lines_per_s: int) -> None:
         self.lines_per_s = lines_per_s
-        self.second = 0
-        self.written = 0
+        self.current_second = 0
+        self.lines_in_second = 0
         self.left_out = 0
 
-    def take(self, now: float) -> int | None:
-        """Return the lines left out before, None to leave this one out."""
-        if int(now) != self.second:
-            self.second = int(now)
-            self.written = 0
-        if self.written >= self.lines_per_s:
+    def try_acquire(self, now: float) -> int | None:
+        """Return the lines left out since the last, None to omit this one."""
+        if int(now) != self.current_second:
+            self.current_second = int(now)
+            self.lines_in_second = 0
+        if self.lines_in_second >= self.lines_per_s:
             self.left_out += 1
             return None
-        self.written += 1
+        self.lines_in_second += 1
         left_out, self.left_out = self.left_out, 0
         return left_out
 
 
 class RequestLog:
-    """Log and count the outcome of each request."""
+    """Log each request's result and update the metrics."""
 
     def __init__(
         self, *, metrics: forwarding_metrics.ForwardingMetrics
     ) -> None:
         self.metrics = metrics
-        self.answered = LineAllowance(lines_per_s=const.ANSWERED_LINES_PER_S)
-        self.failed = LineAllowance(lines_per_s=const.FAILED_LINES_PER_S)
+        self.answered_limiter = LogRateLimiter(
+            lines_per_s=const.ANSWERED_LOG_LINES_PER_S
+        )
+        self.failed_limiter = LogRateLimiter(
+            lines_per_s=const.FAILED_LOG_LINES_PER_S
+        )
 
     def write(
         self,
@@ -126,7 +130,7 @@
         *,
         now: float,
     ) -> None:
-        """Log a request that was answered, refused or failed."""
+        """Log a request that was answered or refused, or that failed."""
         if isinstance(result, Success):
             status = result.unwrap().status
             code = result_codes.ResultCode.OK
@@ -136,9 +140,9 @@
             code, detail, retry_after_s = result.failure()
             status = code.http_status
         self._observe(trace, code.name.lower(), now)
-        good = status < 500 and code is result_codes.ResultCode.OK
-        allowance = self.answered if good else self.failed
-        left_out = allowance.take(now)
+        succeeded = status < 500 and code is result_codes.ResultCode.OK
+        limiter = self.answered_limiter if succeeded else self.failed_limiter
+        left_out = limiter.try_acquire(now)
         if left_out is None:
             return
         extra = trace.fields(now)
@@ -147,16 +151,16 @@
             extra["detail"] = detail
         if retry_after_s:
             extra["retry_after_s"] = retry_after_s
-        level = logging.INFO if good else logging.WARNING
+        level = logging.INFO if succeeded else logging.WARNING
         _LOGGER.log(level, "request ended", extra=extra)
 
     def write_cancelled(self, trace: RequestTrace, *, now: float) -> None:
-        """Log a request whose caller left, or that failed in this process."""
+        """Log a request that the caller cancelled or an exception ended."""
         code = result_codes.ResultCode.CALLER_GONE
         if trace.attempts:
             code = result_codes.ResultCode.CALLER_GONE_RUNNING
         self._observe(trace, code.name.lower(), now)
-        left_out = self.failed.take(now)
+        left_out = self.failed_limiter.try_acquire(now)
         if left_out is None:
             return
         extra = trace.fields(now)
@@ -170,8 +174,8 @@
             code=code,
             seconds=now - trace.request.received_at_s,
         )
-        for entry in trace.attempts[1:]:
-            self.metrics.count_retry(entry.outcome)
+        for record in trace.attempts[1:]:
+            self.metrics.count_retry(record.outcome)
 
 
 def _milliseconds(seconds: float | None) -> int | None:
--- a/src/samphirelug/components/forwarding/retry_window.py
+++ b/src/samphirelug/components/forwarding/retry_window.py
@@ -1,4 +1,4 @@
-"""Bound repeated attempts over a sliding window, shared by all hosts."""
+"""Limit retries over a sliding window, with a budget shared by all hosts."""
 
 import collections
 
@@ -6,38 +6,42 @@
 
 
 class RetryWindow:
-    """Allow repeats as a ratio of first attempts plus a share of a slack."""
+    """Allow retries up to a ratio of first attempts plus the host's slack."""
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
         self.ratio = ratio
+        # Retries in the window beyond the ratio, shared equally by all hosts.
         self.slack = slack
         self.window_s = window_s
-        self.firsts: dict[str, collections.deque[float]] = {}
-        self.repeats: dict[str, collections.deque[float]] = {}
+        # Times of attempts within the window, by service.
+        self.first_attempts: dict[str, collections.deque[float]] = {}
+        self.retries: dict[str, collections.deque[float]] = {}
 
-    def count_first(self, service: str, *, now: float) -> None:
+    def record_first_attempt(self, service: str, *, now: float) -> None:
         """Count a request for a service."""
-        self._recent(self.firsts, service, now).append(now)
-
-    def take(self, service: str, *, now: float, hosts: int) -> bool:
-        """Take one repeat; false when this host's share is used up."""
-        firsts = self._recent(self.firsts, service, now)
-        repeats = self._recent(self.repeats, service, now)
-        allowed = const.BUDGET_MARGIN * (
-            self.ratio * len(firsts) + self.slack / max(1, hosts)
+        self._times_in_window(self.first_attempts, service, now).append(now)
+
+    def try_acquire(self, service: str, *, now: float, hosts: int) -> bool:
+        """Take one retry; return False if this host's share is used up."""
+        first_attempts = self._times_in_window(
+            self.first_attempts, service, now
+        )
+        retries = self._times_in_window(self.retries, service, now)
+        allowed = const.USABLE_BUDGET_RATIO * (
+            self.ratio * len(first_attempts) + self.slack / max(1, hosts)
         )
-        if len(repeats) + 1 > allowed:
+        if len(retries) + 1 > allowed:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
-    def _recent(
+    def _times_in_window(
         self,
-        book: dict[str, collections.deque[float]],
+        times_by_service: dict[str, collections.deque[float]],
         service: str,
         now: float,
     ) -> collections.deque[float]:
-        times = book.setdefault(service, collections.deque())
+        times = times_by_service.setdefault(service, collections.deque())
         while times and times[0] <= now - self.window_s:
             times.popleft()
         return times
--- a/tests/components/forwarding/test_forwarder.py
+++ b/tests/components/forwarding/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Test attempts, repeats and what the caller is told."""
+"""Test attempts, retries and the results that callers get."""
 
 import asyncio
 
@@ -23,13 +23,12 @@
 Kind = backend_model.FailureKind
 Code = result_codes.ResultCode
 
-
-ROOM = load.LoadReport(1, 0, 3)
-FULL = load.LoadReport(3, 9, 3)
+FREE_SLOT_REPORT = load.LoadReport(1, 0, 3)
+FULL_REPORT = load.LoadReport(3, 9, 3)
 
 
 class ScriptedSender(model.AttemptSender):
-    """Return scripted outcomes in turn and keep the attempts."""
+    """Return scripted outcomes in order and record the attempts."""
 
     def __init__(
         self, *outcomes: Kind | int, report: load.LoadReport | None = None
@@ -55,8 +54,8 @@
         return Success(model.AttemptAnswer(answer, None, None))
 
 
-class World:
-    """Hold a forwarder with three servers and a manual clock."""
+class ForwarderHarness:
+    """Set up a forwarder with three servers and a manual clock."""
 
     def __init__(
         self,
@@ -117,139 +116,143 @@
 STATUS = build.request()
 
 
-def code_of(result: core.Answer | result_codes.Refusal) -> Code:
+def refusal_code(result: core.Answer | result_codes.Refusal) -> Code:
     """Return the code of a refusal."""
     assert isinstance(result, result_codes.Refusal)
     return result.code
 
 
-def test_answer_is_passed_on() -> None:
-    """Guard against a changed answer."""
-    result = World(200).run(STATUS)
+def test_answer_is_forwarded_unchanged() -> None:
+    """Guard against changing a server's answer."""
+    result = ForwarderHarness(200).run(STATUS)
     assert isinstance(result, core.Answer)
     assert result.body == b"whole"
 
 
-def test_unknown_configuration_is_no_unknown_route() -> None:
-    """Guard against 404 from a host that has no configuration yet."""
-    starting = World(version=0).run(STATUS)
-    assert code_of(starting) is Code.NO_CATALOGUE
+def test_missing_configuration_is_not_reported_as_unknown_path() -> None:
+    """Guard against status 404 from a host without a configuration."""
+    starting = ForwarderHarness(version=0).run(STATUS)
+    assert refusal_code(starting) is Code.NO_CATALOGUE
     assert isinstance(starting, result_codes.Refusal)
-    # The configuration is there before a caller would wait any longer.
+    # The host is expected to have its configuration within this time.
     assert 0.0 < starting.retry_after_s <= 0.5
     other = build.request(target="/other/1")
-    assert code_of(World().run(other)) is Code.UNKNOWN_PATH
+    assert refusal_code(ForwarderHarness().run(other)) is Code.UNKNOWN_PATH
 
 
 def test_filing_that_may_have_run_is_never_sent_again() -> None:
-    """Guard against a filing that runs twice."""
+    """Guard against running a filing twice."""
     for kind in (Kind.RESET, Kind.TIMEOUT, Kind.INCOMPLETE):
-        world = World(kind, 200)
-        result = world.run(FILING)
-        assert len(world.sender.attempts) == 1
+        harness = ForwarderHarness(kind, 200)
+        result = harness.run(FILING)
+        assert len(harness.sender.attempts) == 1
         assert isinstance(result, result_codes.Refusal)
-        # A status that promises that the request was not run would be false.
+        # Other codes would wrongly state that the request was not run.
         assert result.code.http_status in (502, 504)
 
 
-def test_filing_that_has_certainly_not_run_is_sent_elsewhere() -> None:
-    """Guard against a refusal where another server has room."""
+def test_filing_that_has_not_run_is_sent_to_another_server() -> None:
+    """Guard against a refusal while another server has a free slot."""
     for kind in (Kind.NOT_SENT, Kind.REFUSED, Kind.MISDIRECTED):
-        world = World(kind, 200)
-        assert isinstance(world.run(FILING), core.Answer)
-        first, second = world.sender.attempts
+        harness = ForwarderHarness(kind, 200)
+        assert isinstance(harness.run(FILING), core.Answer)
+        first, second = harness.sender.attempts
         assert first.server != second.server
 
 
-def test_server_error_of_a_filing_is_passed_on() -> None:
-    """Guard against repeating a filing that a server has run."""
-    world = World(500, 200)
-    result = world.run(FILING)
+def test_server_error_for_a_filing_is_forwarded() -> None:
+    """Guard against retrying a filing that a server has run."""
+    harness = ForwarderHarness(500, 200)
+    result = harness.run(FILING)
     assert isinstance(result, core.Answer)
     assert result.status == 500
-    assert len(world.sender.attempts) == 1
+    assert len(harness.sender.attempts) == 1
 
 
-def test_idempotent_request_is_repeated_after_any_failure() -> None:
-    """Guard against callers seeing a failure that another server hides."""
+def test_idempotent_request_is_retried_after_any_failure() -> None:
+    """Guard against a failure where another server can answer."""
     for outcome in (Kind.RESET, Kind.INCOMPLETE, 500):
-        result = World(outcome, 200).run(STATUS)
+        result = ForwarderHarness(outcome, 200).run(STATUS)
         assert isinstance(result, core.Answer)
         assert result.status == 200
 
 
-def test_refusal_after_an_unknown_outcome_does_not_promise() -> None:
-    """Guard against 503 for a request that the first server has run."""
-    result = World(Kind.RESET, Kind.REFUSED).run(STATUS)
-    assert code_of(result) is Code.BACKEND_RESET
+def test_unknown_outcome_takes_precedence_over_a_refusal() -> None:
+    """Guard against status 503 for a request that may have run."""
+    result = ForwarderHarness(Kind.RESET, Kind.REFUSED).run(STATUS)
+    assert refusal_code(result) is Code.BACKEND_RESET
 
 
-def test_servers_own_error_is_the_last_resort() -> None:
-    """Guard against a made-up failure in place of a server's answer."""
-    result = World(500, Kind.NOT_SENT).run(STATUS)
+def test_server_error_is_forwarded_when_the_retry_fails() -> None:
+    """Guard against replacing a server's answer by a generated refusal."""
+    result = ForwarderHarness(500, Kind.NOT_SENT).run(STATUS)
     assert isinstance(result, core.Answer)
     assert result.status == 500
 
 
-def test_attempts_are_bounded_by_the_route() -> None:
-    """Guard against more servers than the route allows."""
-    world = World(Kind.RESET, Kind.RESET, 200)
-    assert code_of(world.run(STATUS)) is Code.BACKEND_RESET
-    assert len(world.sender.attempts) == 2
+def test_attempts_are_limited_by_the_route() -> None:
+    """Guard against trying more servers than the route allows."""
+    harness = ForwarderHarness(Kind.RESET, Kind.RESET, 200)
+    assert refusal_code(harness.run(STATUS)) is Code.BACKEND_RESET
+    assert len(harness.sender.attempts) == 2
 
 
-def test_repeats_are_bounded_by_the_budget() -> None:
-    """Guard against repeats that multiply load when all servers fail."""
-    world = World(Kind.RESET, 200, slack=0.0)
-    assert code_of(world.run(STATUS)) is Code.BACKEND_RESET
-    world = World(Kind.REFUSED, 200, slack=0.0)
-    assert code_of(world.run(STATUS)) is Code.RETRY_BUDGET_EMPTY
-    assert len(world.sender.attempts) == 1
+def test_retries_are_limited_by_the_budget() -> None:
+    """Guard against retries that multiply the load when all servers fail."""
+    harness = ForwarderHarness(Kind.RESET, 200, slack=0.0)
+    assert refusal_code(harness.run(STATUS)) is Code.BACKEND_RESET
+    harness = ForwarderHarness(Kind.REFUSED, 200, slack=0.0)
+    assert refusal_code(harness.run(STATUS)) is Code.RETRY_BUDGET_EMPTY
+    assert len(harness.sender.attempts) == 1
 
 
-def test_attempt_that_reached_no_server_costs_no_budget() -> None:
+def test_attempt_that_reached_no_server_uses_no_budget() -> None:
     """Guard against refusals while a zone's servers are unreachable.
 
-    The budget bounds what arrives at servers beyond each first arrival.
+    The budget limits the requests that reach a server after another server
+    has received them.
     """
-    world = World(Kind.NOT_SENT, 200, slack=0.0)
-    assert isinstance(world.run(STATUS), core.Answer)
+    harness = ForwarderHarness(Kind.NOT_SENT, 200, slack=0.0)
+    assert isinstance(harness.run(STATUS), core.Answer)
 
 
-def test_server_that_refuses_with_room_is_tried_again() -> None:
-    """Guard against leaving the warm server for a refusal by chance.
+def test_server_that_refuses_with_a_free_slot_is_tried_again() -> None:
+    """Guard against leaving the warm server after a random refusal.
 
-    Load pattern: servers fail half of the requests at once and say so.
+    Load pattern: servers immediately refuse half of the requests and report
+    that they did not run them.
     """
-    world = World(Kind.REFUSED, Kind.REFUSED, 200, report=ROOM)
-    assert isinstance(world.run(FILING), core.Answer)
-    assert len({one.server for one in world.sender.attempts}) == 1
-    world = World(Kind.REFUSED, 200, report=FULL)
-    assert isinstance(world.run(FILING), core.Answer)
-    assert len({one.server for one in world.sender.attempts}) == 2
-
-
-def test_sends_are_bounded_when_a_server_keeps_refusing() -> None:
-    """Guard against a loop at a server that refuses everything."""
-    world = World(*[Kind.REFUSED] * 9, report=ROOM)
-    assert code_of(world.run(STATUS)) is Code.BACKEND_REFUSED
-    assert len(world.sender.attempts) == 3
-
-
-def test_server_gets_no_more_time_than_route_and_caller_allow() -> None:
-    """Guard against work that goes on after the caller has its answer."""
-    world = World(200, 200)
-    world.run(build.request(deadline_at_s=0.3))
-    world.run(build.request(deadline_at_s=30.0))
-    assert [attempt.deadline_at_s for attempt in world.sender.attempts] == [
+    harness = ForwarderHarness(
+        Kind.REFUSED, Kind.REFUSED, 200, report=FREE_SLOT_REPORT
+    )
+    assert isinstance(harness.run(FILING), core.Answer)
+    assert len({one.server for one in harness.sender.attempts}) == 1
+    harness = ForwarderHarness(Kind.REFUSED, 200, report=FULL_REPORT)
+    assert isinstance(harness.run(FILING), core.Answer)
+    assert len({one.server for one in harness.sender.attempts}) == 2
+
+
+def test_sends_are_limited_when_a_server_keeps_refusing() -> None:
+    """Guard against an endless loop at a server that refuses everything."""
+    harness = ForwarderHarness(*[Kind.REFUSED] * 9, report=FREE_SLOT_REPORT)
+    assert refusal_code(harness.run(STATUS)) is Code.BACKEND_REFUSED
+    assert len(harness.sender.attempts) == 3
+
+
+def test_attempt_deadline_is_limited_by_route_and_caller() -> None:
+    """Guard against servers working on a request after its deadline."""
+    harness = ForwarderHarness(200, 200)
+    harness.run(build.request(deadline_at_s=0.3))
+    harness.run(build.request(deadline_at_s=30.0))
+    assert [attempt.deadline_at_s for attempt in harness.sender.attempts] == [
         0.3,
         1.0,
     ]
 
 
 def test_expired_request_is_not_sent() -> None:
-    """Guard against work for a caller that no longer waits."""
-    world = World(200)
-    world.timer.advance(2.0)
-    assert code_of(world.run(STATUS)) is Code.DEADLINE_EXPIRED
-    assert not world.sender.attempts
+    """Guard against server work for a caller that no longer waits."""
+    harness = ForwarderHarness(200)
+    harness.timer.advance(2.0)
+    assert refusal_code(harness.run(STATUS)) is Code.DEADLINE_EXPIRED
+    assert not harness.sender.attempts
