--- a/src/samphirelug/components/forwarding/forwarder.py
+++ b/src/samphirelug/components/forwarding/forwarder.py
@@ -115,7 +115,7 @@
         trace.route = route
         object_key = _object_key(request, route)
         service = route_table.configuration.services[
-            self.split.pick(route, object_key=object_key)
+            self.split.choose_service(route, object_key=object_key)
         ]
         trace.service = service.name
         self.retries.record_first_attempt(
--- a/src/samphirelug/components/routing/__init__.py
+++ b/src/samphirelug/components/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choose the service that a request goes to."""
+"""Match requests to routes and services."""
--- a/src/samphirelug/components/routing/model.py
+++ b/src/samphirelug/components/routing/model.py
@@ -1,57 +1,57 @@
-"""Define the configuration that routes requests to services."""
+"""Define the configuration by which requests are routed to services."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 
 class Destination(NamedTuple):
-    """Name a service and its share of a route's requests."""
+    """Hold a service and its weight in a route's traffic split."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Describe the requests of a host name below a path prefix."""
+    """Describe how requests for a host name and path prefix are handled."""
 
     name: str
     hostname: str
     # Begins and ends with a slash.
     path_prefix: str
     idempotent: bool
-    # A response within this time has its full value.
+    # A response is fully useful to the caller up to this latency.
     target_latency_s: float
-    # 0 is the most urgent.
+    # 0 is the highest priority.
     priority: int
-    # Servers that have handled an object before handle it faster.
+    # Whether servers handle an object faster after its first request.
     has_affinity: bool
     destinations: tuple[Destination, ...]
-    # Longest time until a request is answered.
+    # Maximum time until a request is answered.
     timeout_s: float
-    # Servers that one request may be sent to.
+    # Maximum number of different servers that one request is sent to.
     max_attempts: int
     # Empty allows every region.
     allowed_regions: frozenset[str]
 
     @property
     def key(self) -> str:
-        """Return what identifies the route across configurations."""
+        """Return the key that identifies the route in all configurations."""
         return f"{self.hostname}{self.path_prefix}"
 
 
 class Service(NamedTuple):
-    """Describe what holds for all backend servers of a service."""
+    """Hold the settings of all backend servers of a service."""
 
     name: str
     health_path: str
     max_connections: int
     cold_start_s: float
-    # Requests a second that a cold server bears.
+    # Requests per second that a cold server can handle.
     cold_requests_per_s: float
 
 
 class CallerLimits(NamedTuple):
-    """Bound what a caller may send and how long it may take."""
+    """Limit the size and the duration of what a caller sends."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -60,7 +60,7 @@
 
 
 class Configuration(NamedTuple):
-    """Hold one version of the whole configuration."""
+    """Hold one version of the complete configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/src/samphirelug/components/routing/split.py
+++ b/src/samphirelug/components/routing/split.py
@@ -3,41 +3,47 @@
 from samphirelug.components.routing import model
 from samphirelug.helpers import rendezvous
 
-# Requests by which a host may depart from the weights for an object's own
-# service; fewer than a tenth of the requests after which shares are judged.
-MAX_DEPARTURE = 2.0
+# Number of requests by which a host may deviate from the weights to keep an
+# object at its service. It is less than a tenth of the number of requests
+# over which the shares are evaluated.
+MAX_DEVIATION = 2.0
 
 
 class WeightedSplit:
     """Keep each object at one service as far as the weights allow.
 
-    Answers a split of load whose servers handle known objects faster: with
-    a pick for each request, every object would be new to both services.
+    Servers handle requests for objects that they know faster. If the service
+    were chosen per request, every object would be new to both services.
     """
 
     def __init__(self) -> None:
-        # What each service is owed, by route; kept only for split routes.
-        self.owed: dict[
+        # Requests that each service is short of its share, by route; only
+        # for routes with several services.
+        self.deficits: dict[
             str, tuple[tuple[model.Destination, ...], dict[str, float]]
         ] = {}
 
-    def pick(self, route: model.Route, *, object_key: str) -> str:
+    def choose_service(self, route: model.Route, *, object_key: str) -> str:
         """Return the service for the next request of the route."""
         if len(route.destinations) == 1:
             return route.destinations[0].service
         weights = {
-            target.service: target.weight for target in route.destinations
+            destination.service: destination.weight
+            for destination in route.destinations
         }
-        known = self.owed.get(route.key)
-        if known is None or known[0] != route.destinations:
-            known = (route.destinations, dict.fromkeys(weights, 0.0))
-            self.owed[route.key] = known
-        owed = known[1]
+        state = self.deficits.get(route.key)
+        if state is None or state[0] != route.destinations:
+            state = (route.destinations, dict.fromkeys(weights, 0.0))
+            self.deficits[route.key] = state
+        deficit_by_service = state[1]
         total = sum(weights.values())
         for service, weight in weights.items():
-            owed[service] += weight / total
+            deficit_by_service[service] += weight / total
         chosen = rendezvous.order_by_weight(key=object_key, weights=weights)[0]
-        if owed[chosen] < 1.0 - MAX_DEPARTURE:
-            chosen = max(owed, key=lambda service: owed[service])
-        owed[chosen] -= 1.0
+        if deficit_by_service[chosen] < 1.0 - MAX_DEVIATION:
+            chosen = max(
+                deficit_by_service,
+                key=lambda service: deficit_by_service[service],
+            )
+        deficit_by_service[chosen] -= 1.0
         return chosen
--- a/src/samphirelug/components/routing/table.py
+++ b/src/samphirelug/components/routing/table.py
@@ -21,7 +21,7 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, *, hostname: str, path: str) -> model.Route | None:
-        """Return the route with the longest prefix of the path."""
+        """Return the route with the longest matching path prefix."""
         for route in self.by_hostname.get(hostname.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -42,13 +42,13 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the version in force, 0 if there is none."""
         return self.table.configuration.version if self.table else 0
 
     def apply(
         self, configuration: model.Configuration, *, now: float, source: str
     ) -> bool:
-        """Put a newer configuration in force; ignore an older one."""
+        """Apply a newer configuration; return False if it is not newer."""
         if configuration.version <= self.version:
             if configuration.version < self.version:
                 _LOGGER.warning(
@@ -60,14 +60,14 @@
                     },
                 )
             return False
-        previous = self.version
+        previous_version = self.version
         self.table = RouteTable(configuration=configuration)
         self.applied_at_s = now
         _LOGGER.info(
             "configuration in force",
             extra={
                 "version": configuration.version,
-                "previous_version": previous,
+                "previous_version": previous_version,
                 "routes": len(configuration.routes),
                 "source": source,
             },
--- a/tests/components/routing/test_table.py
+++ b/tests/components/routing/test_table.py
@@ -1,4 +1,4 @@
-"""Test the match of routes, versions and the weighted split."""
+"""Test route matching, configuration versions and the weighted split."""
 
 import collections
 
@@ -8,27 +8,27 @@
 
 
 def test_longest_prefix_wins_and_hostname_ignores_case() -> None:
-    """Guard against a general route hiding a more specific one."""
+    """Guard against a general route that shadows a more specific one."""
     general = build.route(name="general", path_prefix="/")
-    special = build.route(name="special", path_prefix="/status/old/")
+    specific = build.route(name="specific", path_prefix="/status/old/")
     routes = table.RouteTable(
-        configuration=build.configuration(general, special)
+        configuration=build.configuration(general, specific)
     )
     host = build.HOSTNAME.upper()
     found = routes.find(hostname=host, path="/status/old/1")
-    assert found == special
+    assert found == specific
     assert routes.find(hostname=host, path="/status/1") == general
     assert routes.find(hostname="other.example", path="/status/1") is None
 
 
 def test_prefix_matches_whole_segments_only() -> None:
-    """Guard against /status/ taking /statusold."""
+    """Guard against /status/ matching /statusold."""
     routes = table.RouteTable(configuration=build.configuration(build.route()))
     assert routes.find(hostname=build.HOSTNAME, path="/statusold") is None
 
 
 def test_configuration_version_never_decreases() -> None:
-    """Guard against old news from a store or peer ending a change."""
+    """Guard against outdated data from store or peers undoing a change."""
     state = table.ConfigurationState()
     newer = build.configuration(build.route(), version=12)
     older = build.configuration(version=7)
@@ -43,41 +43,47 @@
 
 
 def test_split_keeps_shares_in_short_sequences() -> None:
-    """Guard against picks that miss the weights by over a tenth."""
-    weighted = split.WeightedSplit()
+    """Guard against shares that miss the weights by more than a tenth."""
+    weighted_split = split.WeightedSplit()
     for keys in (
         [f"object-{number % 24}" for number in range(60)],
         ["object-1"] * 60,
         ["object-2"] * 60,
     ):
-        picks = collections.Counter(
-            weighted.pick(SPLIT, object_key=key) for key in keys
+        counts = collections.Counter(
+            weighted_split.choose_service(SPLIT, object_key=key)
+            for key in keys
         )
-        assert abs(picks["ledger"] / 60 - 0.1) < 0.1
+        assert abs(counts["ledger"] / 60 - 0.1) < 0.1
 
 
 def test_split_keeps_objects_at_one_service() -> None:
     """Guard against each object being new to the servers of both services."""
-    weighted = split.WeightedSplit()
+    weighted_split = split.WeightedSplit()
     even = build.route(destinations=(("desk", 1.0), ("ledger", 1.0)))
-    seen: dict[str, collections.Counter[str]] = collections.defaultdict(
-        collections.Counter
+    counts_by_object: dict[str, collections.Counter[str]] = (
+        collections.defaultdict(collections.Counter)
     )
     for number in range(720):
         key = f"object-{number * 7 % 72}"
-        seen[key][weighted.pick(even, object_key=key)] += 1
-    at_main = sum(max(counts.values()) for counts in seen.values())
-    assert at_main / 720 > 0.8
+        counts_by_object[key][
+            weighted_split.choose_service(even, object_key=key)
+        ] += 1
+    at_main_service = sum(
+        max(counts.values()) for counts in counts_by_object.values()
+    )
+    assert at_main_service / 720 > 0.8
 
 
-def test_split_starts_anew_when_the_weights_change() -> None:
-    """Guard against what former weights owed skewing the new shares."""
-    weighted = split.WeightedSplit()
+def test_split_is_reset_when_the_weights_change() -> None:
+    """Guard against deficits from former weights skewing the new shares."""
+    weighted_split = split.WeightedSplit()
     first = build.route(destinations=(("desk", 99.0), ("ledger", 1.0)))
     for number in range(50):
-        weighted.pick(first, object_key=f"object-{number}")
+        weighted_split.choose_service(first, object_key=f"object-{number}")
     second = build.route(destinations=(("desk", 1.0), ("ledger", 1.0)))
-    picks = collections.Counter(
-        weighted.pick(second, object_key="object-1") for _ in range(20)
+    counts = collections.Counter(
+        weighted_split.choose_service(second, object_key="object-1")
+        for _ in range(20)
     )
-    assert abs(picks["desk"] - 10) <= 2
+    assert abs(counts["desk"] - 10) <= 2
