--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -389,7 +389,7 @@
         work = self.catalogue.view.works.get(request.work)
         if work is None:
             return None
-        regions = self.planner.regions_for(request)
+        regions = self.planner.regions_for_request(request)
         flow.shortages = {
             region: shortage
             for region, shortage in flow.shortages.items()
@@ -1044,7 +1044,7 @@
         if {
             shortage.code for shortage in flow.shortages.values()
         } <= _UNAVAILABLE_CODES:
-            regions = self.planner.regions_for(head.request)
+            regions = self.planner.regions_for_request(head.request)
             if set(flow.shortages) >= set(regions):
                 self.queues[flow.rank].remove(head)
                 self._refuse_queued(head, self._shortage_code(flow), now)
--- a/src/samphirelug/components/steering/__init__.py
+++ b/src/samphirelug/components/steering/__init__.py
@@ -1,1 +1,1 @@
-"""Choose entry hosts, regions and backend servers."""
+"""Select entry hosts, regions and backend servers for requests."""
--- a/src/samphirelug/components/steering/health.py
+++ b/src/samphirelug/components/steering/health.py
@@ -1,4 +1,4 @@
-"""Judge the backend servers by what they do and what is said of them."""
+"""Track the health of backend servers from requests, probes and peers."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 from samphirelug.components.steering import const
 from samphirelug.helpers import timer as timer_helper
 
-_UNHEALTHY = frozenset(
+_UNHEALTHY_FAILURES = frozenset(
     (
         backend_model.FailureKind.NOT_SENT,
         backend_model.FailureKind.TIMEOUT,
@@ -20,12 +20,12 @@
 
 
 class ServerState:
-    """Hold what is known of one backend server."""
+    """Hold the health state of one backend server."""
 
     __slots__ = (
         "backoff_s",
         "cleared_at_s",
-        "departed",
+        "departed_incarnations",
         "down_since_leaving",
         "failed",
         "failures",
@@ -33,13 +33,13 @@
         "latency_s",
         "leaving",
         "leaving_at_s",
-        "list_leaving",
         "list_revision",
+        "listed_as_leaving",
         "load",
         "load_at_s",
         "outstanding",
         "probe_at_s",
-        "ramp_from_s",
+        "ramp_started_at_s",
     )
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self.failures = 0
         self.failed = False
         self.backoff_s = const.PROBE_BACKOFF_S
-        # A good probe counts from this time on.
+        # Successful probes before this time do not make the server usable.
         self.probe_at_s = 0.0
         self.latency_s: float | None = None
         self.load = 0.0
@@ -55,35 +55,35 @@
         self.leaving = False
         self.leaving_at_s = 0.0
         self.cleared_at_s = -math.inf
-        # Last incarnation heard of, and those that were seen leaving.
+        # Last incarnation reported, and all that were reported as leaving.
         self.incarnation = ""
-        self.departed: set[str] = set()
+        self.departed_incarnations: set[str] = set()
         self.down_since_leaving = False
         self.list_revision = 0
-        self.list_leaving = False
-        self.ramp_from_s = -math.inf
+        self.listed_as_leaving = False
+        self.ramp_started_at_s = -math.inf
 
 
 class ServerHealth:
-    """Collect signals about backend servers; report new leaving signals."""
+    """Combine health signals of servers and report leaving signals."""
 
     def __init__(self, *, timer: timer_helper.TimerService) -> None:
         self.timer = timer
         self.states: dict[str, ServerState] = {}
         self.on_sighting: list[Callable[[peers_model.Sighting], None]] = []
-        # Called when a server may be used that could not be used before.
+        # Called when a server becomes usable again.
         self.on_usable: list[Callable[[], None]] = []
-        self.known: frozenset[str] | None = None
+        self.known_servers: frozenset[str] | None = None
 
     def state(self, server: str) -> ServerState:
-        """Return the state of a server, made at its first mention."""
+        """Return the state of a server, created on first access."""
         state = self.states.get(server)
         if state is None:
             state = self.states[server] = ServerState()
         return state
 
     def started(self, server: str) -> None:
-        """Note that a request is being sent to the server."""
+        """Record that a request is being sent to the server."""
         self.state(server).outstanding += 1
 
     def ended(
@@ -93,11 +93,11 @@
         latency_s: float,
         failure: backend_model.FailureKind | None,
     ) -> None:
-        """Note how a request to the server ended, latency in seconds."""
+        """Record how a request to the server ended, latency in seconds."""
         state = self.state(server)
         state.outstanding = max(0, state.outstanding - 1)
         if failure is None or failure is backend_model.FailureKind.TIMEOUT:
-            self._average(state, latency_s)
+            self._update_latency(state, latency_s)
         if failure is None:
             state.failures = 0
             state.backoff_s = const.PROBE_BACKOFF_S
@@ -105,7 +105,7 @@
         if failure is backend_model.FailureKind.LEAVING:
             self._mark_leaving(server, state, "", 0)
             return
-        if failure not in _UNHEALTHY:
+        if failure not in _UNHEALTHY_FAILURES:
             return
         if failure is backend_model.FailureKind.NOT_SENT:
             state.down_since_leaving = state.leaving
@@ -114,7 +114,7 @@
             self._mark_failed(state)
 
     def probe_failed(self, server: str, *, refused: bool) -> None:
-        """Note that a health probe failed; refused: no listener at all."""
+        """Record a failed health probe; refused if nothing listened."""
         state = self.state(server)
         if refused:
             state.down_since_leaving = state.leaving
@@ -123,45 +123,53 @@
             self._mark_failed(state)
 
     def apply_report(self, report: backend_model.HealthReport) -> None:
-        """Take a server's answer to a health probe."""
+        """Apply a server's answer to a health probe."""
         state = self.state(report.server)
         now = self.timer.monotonic()
         state.load = min(1.0, max(0.0, report.load))
         state.load_at_s = now
         if report.leaving:
-            stale = report.server_incarnation in state.departed
-            if stale and not state.leaving:
+            is_departed = (
+                report.server_incarnation in state.departed_incarnations
+            )
+            if is_departed and not state.leaving:
                 return
             self._mark_leaving(
                 report.server, state, report.server_incarnation, 0
             )
             return
-        self._note_live(report.server, state, report.server_incarnation)
+        self._apply_live_report(
+            report.server, state, report.server_incarnation
+        )
         if state.failed and now >= state.probe_at_s:
             state.failed = False
-            # The next failure sends it back to probing, for longer.
+            # A single further failure takes the server out of use again, with
+            # a longer backoff.
             state.failures = const.FAILURES_BEFORE_PROBE - 1
-            state.ramp_from_s = now
+            state.ramp_started_at_s = now
             self._notify_usable()
 
     def apply_sighting(self, sighting: peers_model.Sighting) -> None:
-        """Take a peer's report about a server."""
+        """Apply a peer's report about a server."""
         state = self.state(sighting.server)
         if not sighting.leaving:
-            self._apply_return(sighting, state)
+            self._apply_cleared_sighting(sighting, state)
             return
         if sighting.list_revision:
             if sighting.list_revision > state.list_revision:
                 state.list_revision = sighting.list_revision
-                state.list_leaving = True
+                state.listed_as_leaving = True
                 self._mark_leaving(
                     sighting.server, state, "", sighting.list_revision
                 )
             return
-        if sighting.server_incarnation in state.departed:
+        if sighting.server_incarnation in state.departed_incarnations:
             return
         age_s = self.timer.monotonic() - state.cleared_at_s
-        if not sighting.server_incarnation and age_s < const.CLEARED_KEEP_S:
+        if (
+            not sighting.server_incarnation
+            and age_s < const.CLEARED_SIGHTING_KEEP_S
+        ):
             return
         self._mark_leaving(
             sighting.server, state, sighting.server_incarnation, 0
@@ -170,48 +178,48 @@
     def apply_host_list(
         self, *, revision: int, live: Iterable[str], leaving: Iterable[str]
     ) -> None:
-        """Take a revision of the host list, by server names."""
+        """Apply a revision of the host list, by server names."""
         now = self.timer.monotonic()
         for server in leaving:
             state = self.state(server)
             if revision > state.list_revision:
                 state.list_revision = revision
-                state.list_leaving = True
+                state.listed_as_leaving = True
                 self._mark_leaving(server, state, "", revision)
         for server in live:
             state = self.state(server)
             if revision <= state.list_revision:
                 continue
             state.list_revision = revision
-            lagging = now - state.leaving_at_s < const.HOST_LIST_LAG_S
-            if state.leaving and (state.list_leaving or not lagging):
-                self._clear(server, state, "", revision)
-            state.list_leaving = False
+            list_may_lag = now - state.leaving_at_s < const.HOST_LIST_LAG_S
+            if state.leaving and (state.listed_as_leaving or not list_may_lag):
+                self._clear_leaving(server, state, "", revision)
+            state.listed_as_leaving = False
 
     def set_known_servers(self, servers: Iterable[str]) -> None:
-        """Take the servers of the catalogue; later ones ramp up."""
+        """Set the servers of the catalogue; added ones get a slow start."""
         now = self.timer.monotonic()
         names = frozenset(servers)
-        # An empty catalogue is one that has not arrived yet.
-        if self.known:
-            for name in names - self.known:
-                self.state(name).ramp_from_s = now
-            for name in self.known - names:
+        # An empty catalogue is treated as not received yet.
+        if self.known_servers:
+            for name in names - self.known_servers:
+                self.state(name).ramp_started_at_s = now
+            for name in self.known_servers - names:
                 self.states.pop(name, None)
-        self.known = names
+        self.known_servers = names
 
     def is_leaving(self, server: str) -> bool:
-        """Return whether any signal says that the server is leaving."""
+        """Return whether the server is known to be leaving."""
         state = self.states.get(server)
         return state is not None and state.leaving
 
     def is_usable(self, server: str) -> bool:
-        """Return whether new work may be sent to the server."""
+        """Return whether new requests may be sent to the server."""
         state = self.states.get(server)
         return state is None or not (state.leaving or state.failed)
 
     def needs_probe(self) -> tuple[str, ...]:
-        """Return the servers that a good probe would bring back."""
+        """Return the failed servers that are due for a probe."""
         now = self.timer.monotonic()
         return tuple(
             name
@@ -220,23 +228,24 @@
         )
 
     def sightings(self) -> tuple[peers_model.Sighting, ...]:
-        """Return the leaving servers, and those back for a short time."""
+        """Return sightings of leaving and recently cleared servers."""
         now = self.timer.monotonic()
         return tuple(
-            self._sighting(name, state)
+            self._make_sighting(name, state)
             for name, state in self.states.items()
-            if state.leaving or now - state.cleared_at_s < const.CLEARED_KEEP_S
+            if state.leaving
+            or now - state.cleared_at_s < const.CLEARED_SIGHTING_KEEP_S
         )
 
-    def ramp(self, server: str, *, ramp_s: float) -> float:
-        """Return the part of a server's capacity to use, 0.0 to 1.0."""
+    def ramp_fraction(self, server: str, *, ramp_s: float) -> float:
+        """Return the fraction of a server's capacity to use, 0.0 to 1.0."""
         state = self.states.get(server)
         if state is None or ramp_s <= 0.0:
             return 1.0
-        elapsed_s = self.timer.monotonic() - state.ramp_from_s
+        elapsed_s = self.timer.monotonic() - state.ramp_started_at_s
         return min(1.0, elapsed_s / ramp_s)
 
-    def _average(self, state: ServerState, latency_s: float) -> None:
+    def _update_latency(self, state: ServerState, latency_s: float) -> None:
         if state.latency_s is None:
             state.latency_s = latency_s
             return
@@ -256,7 +265,7 @@
         if incarnation:
             state.incarnation = incarnation
         if name:
-            state.departed.add(name)
+            state.departed_incarnations.add(name)
         if state.leaving:
             return
         state.leaving = True
@@ -264,68 +273,73 @@
         state.cleared_at_s = -math.inf
         state.down_since_leaving = False
         state.list_revision = max(state.list_revision, revision)
-        self._publish(server, state)
+        self._publish_sighting(server, state)
 
-    def _note_live(
+    def _apply_live_report(
         self, server: str, state: ServerState, incarnation: str
     ) -> None:
-        if not incarnation or incarnation in state.departed:
+        if not incarnation or incarnation in state.departed_incarnations:
             return
-        first = not state.incarnation
+        is_first = not state.incarnation
         changed = incarnation != state.incarnation
         state.incarnation = incarnation
         if not state.leaving:
-            if changed and not first:
-                state.ramp_from_s = self.timer.monotonic()
+            if changed and not is_first:
+                state.ramp_started_at_s = self.timer.monotonic()
             return
-        if first and not state.down_since_leaving:
+        if is_first and not state.down_since_leaving:
             # The leaving signal named no incarnation and the server has not
-            # been seen down since: this report is a late one of the same.
-            state.departed.add(incarnation)
+            # been seen down since, so this is a late report of the incarnation
+            # that is leaving.
+            state.departed_incarnations.add(incarnation)
             return
-        self._clear(server, state, incarnation, state.list_revision)
+        self._clear_leaving(server, state, incarnation, state.list_revision)
 
-    def _apply_return(
+    def _apply_cleared_sighting(
         self, sighting: peers_model.Sighting, state: ServerState
     ) -> None:
         incarnation = sighting.server_incarnation
-        if incarnation and incarnation not in state.departed:
-            # The peer saw a start that this host has not seen leaving.
+        if incarnation and incarnation not in state.departed_incarnations:
+            # The peer reports an incarnation that this host has not seen
+            # leaving, so the server was restarted.
             state.incarnation = incarnation
             if state.leaving:
-                self._clear(sighting.server, state, incarnation, 0)
+                self._clear_leaving(sighting.server, state, incarnation, 0)
             return
         if sighting.list_revision > state.list_revision:
             state.list_revision = sighting.list_revision
-            if state.leaving and state.list_leaving:
-                self._clear(sighting.server, state, "", sighting.list_revision)
-            state.list_leaving = False
+            if state.leaving and state.listed_as_leaving:
+                self._clear_leaving(
+                    sighting.server, state, "", sighting.list_revision
+                )
+            state.listed_as_leaving = False
 
-    def _clear(
+    def _clear_leaving(
         self, server: str, state: ServerState, incarnation: str, revision: int
     ) -> None:
         now = self.timer.monotonic()
         if incarnation:
             state.incarnation = incarnation
         else:
-            # The list vouches for whatever incarnation answers next.
-            state.departed.clear()
+            # The host list reports the server as live, so any incarnation
+            # that answers next is accepted.
+            state.departed_incarnations.clear()
             state.incarnation = ""
         state.leaving = False
-        state.list_leaving = False
+        state.listed_as_leaving = False
         state.list_revision = max(state.list_revision, revision)
         state.cleared_at_s = now
-        state.ramp_from_s = now
+        state.ramp_started_at_s = now
         state.failures = 0
         state.failed = False
-        self._publish(server, state)
+        self._publish_sighting(server, state)
         self._notify_usable()
 
-    def _sighting(
+    def _make_sighting(
         self, server: str, state: ServerState
     ) -> peers_model.Sighting:
         by_list = (
-            state.list_leaving if state.leaving else not state.incarnation
+            state.listed_as_leaving if state.leaving else not state.incarnation
         )
         return peers_model.Sighting(
             server=server,
@@ -334,8 +348,8 @@
             list_revision=state.list_revision if by_list else 0,
         )
 
-    def _publish(self, server: str, state: ServerState) -> None:
-        sighting = self._sighting(server, state)
+    def _publish_sighting(self, server: str, state: ServerState) -> None:
+        sighting = self._make_sighting(server, state)
         for callback in self.on_sighting:
             callback(sighting)
 
--- a/src/samphirelug/components/steering/lookup.py
+++ b/src/samphirelug/components/steering/lookup.py
@@ -1,4 +1,4 @@
-"""Answer look-ups: which entry hosts a caller should use."""
+"""Answer look-ups with the entry hosts that a caller should use."""
 
 from collections.abc import Callable
 import math
@@ -22,8 +22,8 @@
 from samphirelug import result_codes
 
 
-class Issuer(Protocol):
-    """Issue run tokens; the TokenIssuer does."""
+class RunTokenIssuer(Protocol):
+    """Issue run tokens; implemented by TokenIssuer."""
 
     def issue(
         self,
@@ -37,37 +37,40 @@
 
 
 class CachedAnswer(NamedTuple):
-    """Keep an answer for reuse; the run token is never reused."""
+    """Cache an answer without its run token, which is never reused."""
 
     answer: model.LookupAnswer
-    first: core.EntryHost
+    first_host: core.EntryHost
     clock_ms: int
     home_region: str
     view: catalogue_view.CatalogueView
-    until_s: float
+    valid_until_s: float
 
 
 class Candidates(NamedTuple):
-    """Keep what peers last told; answers of one period share it.
+    """Cache the heartbeats of serving hosts for all answers of a period.
 
-    Collecting it costs more than ordering it, and in a flood every work
-    entry and place is asked for in each period.
+    Collecting them costs more than ordering them, and under high load each
+    work entry is looked up from each place in every period.
     """
 
-    beats: tuple[peers_model.Heartbeat, ...]
+    heartbeats: tuple[peers_model.Heartbeat, ...]
     view: catalogue_view.CatalogueView
-    until_s: float
+    valid_until_s: float
 
 
 class LookupPlanner:
-    """Order the entry hosts that serve, for each work entry and place."""
+    """Order the serving entry hosts for each work entry and place.
+
+    A place is the name of a region or an availability zone.
+    """
 
     def __init__(
         self,
         *,
         catalogue: steering_planner.CatalogueSource,
         mesh: peers_mesh.PeerMesh,
-        issuer: Issuer,
+        issuer: RunTokenIssuer,
         own_heartbeat: Callable[[], peers_model.Heartbeat],
         timer: timer_helper.TimerService,
         keep_s: float = shared_const.LOOKUP_KEEP_S,
@@ -80,14 +83,14 @@
         self.timer = timer
         self.cache: dict[tuple[str, str], CachedAnswer] = {}
         self.candidates: Candidates | None = None
-        # By host: the position that it stands still at, and since when.
-        self.behind: dict[str, tuple[int, float]] = {}
-        self.builds = 0
+        # By host that is behind: its catalogue position, and since when.
+        self.lagging_positions: dict[str, tuple[int, float]] = {}
+        self.answers_built = 0
 
     def answer(
         self, *, work: str, place: str
     ) -> Result[model.LookupAnswer, result_codes.Refusal]:
-        """Return entry hosts for callers of a work entry at a place.
+        """Return the entry hosts for callers of a work entry at a place.
 
         Fails with NO_CATALOGUE, UNKNOWN_WORK, MALFORMED_REQUEST,
         NO_ENTRY_HOST or OVERLOADED.
@@ -97,26 +100,26 @@
         if (
             cached is None
             or cached.view is not view
-            or self.timer.monotonic() >= cached.until_s
+            or self.timer.monotonic() >= cached.valid_until_s
         ):
-            built = self._build(view, work, place)
-            if not isinstance(built, Success):
-                return Failure(built.failure())
-            cached = built.unwrap()
-            if len(self.cache) >= const.LOOKUP_CACHE_ENTRIES:
+            result = self._build_answer(view, work, place)
+            if not isinstance(result, Success):
+                return Failure(result.failure())
+            cached = result.unwrap()
+            if len(self.cache) >= const.LOOKUP_CACHE_MAX_ENTRIES:
                 self.cache.clear()
             self.cache[(work, place)] = cached
         if view.works[work]["repeatable"]:
             return Success(cached.answer)
         token = self.issuer.issue(
             work=work,
-            host=cached.first,
+            host=cached.first_host,
             home_region=cached.home_region,
             clock_ms=cached.clock_ms,
         )
         return Success(cached.answer._replace(run_token=token))
 
-    def _build(
+    def _build_answer(
         self, view: catalogue_view.CatalogueView, work: str, place: str
     ) -> Result[CachedAnswer, result_codes.Refusal]:
         if not view.works:
@@ -130,17 +133,17 @@
                 f"the catalogue has no work entry {work!r}",
                 0.0,
             )
-        home = view.region_of(place)
-        if home is None:
+        home_region = view.region_of(place)
+        if home_region is None:
             return _refuse(
                 result_codes.ResultCode.MALFORMED_REQUEST,
-                f"{place!r} is no region or availability zone",
+                f"{place!r} is not a region or availability zone",
                 0.0,
             )
         rank = entry["work_class"].rank
-        candidates = self._candidates(view)
-        beats = list(candidates.beats)
-        if not beats:
+        candidates = self._current_candidates(view)
+        heartbeats = list(candidates.heartbeats)
+        if not heartbeats:
             return _refuse(
                 result_codes.ResultCode.NO_ENTRY_HOST,
                 "no entry host is serving",
@@ -148,151 +151,172 @@
             )
         service = entry["backend_service"]
         waits = {
-            beat.host.name: _wait_s(view, beat, rank, service)
-            for beat in beats
+            heartbeat.host.name: _wait_s(view, heartbeat, rank, service)
+            for heartbeat in heartbeats
         }
-        least_s = min(waits.values())
-        bound_s = min(
-            const.LOOKUP_WAIT_S, const.LOOKUP_WAIT_PART * entry["deadline_s"]
+        min_wait_s = min(waits.values())
+        max_wait_s = min(
+            const.LOOKUP_MAX_WAIT_S,
+            const.LOOKUP_MAX_WAIT_FRACTION * entry["deadline_s"],
         )
-        if least_s > bound_s:
+        if min_wait_s > max_wait_s:
             return _refuse(
                 result_codes.ResultCode.OVERLOADED,
-                f"{rank.label} work waits {least_s:.1f} s everywhere",
-                least_s,
+                f"{rank.label} work waits at least {min_wait_s:.1f} s"
+                " at every entry host",
+                min_wait_s,
             )
-        self.builds += 1
-        beats.sort(
-            key=lambda beat: (
-                waits[beat.host.name] > bound_s,
-                *_distance(view, home, place, beat.host.zone),
-                self._draw(beat, service),
+        self.answers_built += 1
+        heartbeats.sort(
+            key=lambda heartbeat: (
+                waits[heartbeat.host.name] > max_wait_s,
+                *_distance_key(view, home_region, place, heartbeat.host.zone),
+                self._weighted_draw(heartbeat, service),
             )
         )
-        first = beats[0]
+        preferred = heartbeats[0]
         answer = model.LookupAnswer(
             work=work,
             rank=rank,
             keep_s=self.keep_s,
             entry_hosts=tuple(
                 model.NamedEntryHost(
-                    name=beat.host.name,
-                    availability_zone=beat.host.zone.name,
-                    region=beat.host.zone.region,
-                    url=beat.host.caller_urls[rank],
+                    name=heartbeat.host.name,
+                    availability_zone=heartbeat.host.zone.name,
+                    region=heartbeat.host.zone.region,
+                    url=heartbeat.host.caller_urls[rank],
                 )
-                for beat in beats[: shared_const.LOOKUP_MAX_ENTRY_HOSTS]
+                for heartbeat in heartbeats[
+                    : shared_const.LOOKUP_MAX_ENTRY_HOSTS
+                ]
             ),
             run_token=None,
         )
         return Success(
             CachedAnswer(
                 answer=answer,
-                first=first.host,
-                clock_ms=first.clock_ms,
-                home_region=home,
+                first_host=preferred.host,
+                clock_ms=preferred.clock_ms,
+                home_region=home_region,
                 view=view,
-                # Not later, or an answer would name a leaving host for longer.
-                until_s=candidates.until_s,
+                # Expires with the candidates, so that an answer does not name
+                # a leaving host for longer.
+                valid_until_s=candidates.valid_until_s,
             )
         )
 
-    def _candidates(self, view: catalogue_view.CatalogueView) -> Candidates:
+    def _current_candidates(
+        self, view: catalogue_view.CatalogueView
+    ) -> Candidates:
         now = self.timer.monotonic()
-        known = self.candidates
-        if known is None or known.view is not view or now >= known.until_s:
-            known = self.candidates = Candidates(
-                tuple(self._serving()), view, now + const.LOOKUP_REUSE_S
+        cached = self.candidates
+        if (
+            cached is None
+            or cached.view is not view
+            or now >= cached.valid_until_s
+        ):
+            cached = self.candidates = Candidates(
+                tuple(self._serving_heartbeats()),
+                view,
+                now + const.LOOKUP_CACHE_S,
             )
-        return known
+        return cached
 
-    def _serving(self) -> list[peers_model.Heartbeat]:
+    def _serving_heartbeats(self) -> list[peers_model.Heartbeat]:
         own = self.own_heartbeat()
         now = self.timer.monotonic()
-        beats = [own] + [
+        heartbeats = [own] + [
             peer.heartbeat
             for peer in self.mesh.live_peers()
             if now - peer.heard_at_s <= shared_const.PEER_TIMEOUT_S
             and peer.heartbeat.host.name != own.host.name
         ]
         serving = [
-            beat for beat in beats if beat.state is core.EntryHostState.SERVING
+            heartbeat
+            for heartbeat in heartbeats
+            if heartbeat.state is core.EntryHostState.SERVING
         ]
-        newest = max(beat.catalogue_revision for beat in beats)
+        newest = max(heartbeat.catalogue_revision for heartbeat in heartbeats)
         current = [
-            beat for beat in serving if not self._lags(beat, newest, now)
+            heartbeat
+            for heartbeat in serving
+            if not self._is_lagging(heartbeat, newest, now)
         ]
         return current or serving
 
-    def _lags(
-        self, beat: peers_model.Heartbeat, newest: int, now: float
+    def _is_lagging(
+        self, heartbeat: peers_model.Heartbeat, newest: int, now: float
     ) -> bool:
-        name = beat.host.name
-        position = beat.catalogue_revision
+        name = heartbeat.host.name
+        position = heartbeat.catalogue_revision
         if position >= newest:
-            self.behind.pop(name, None)
+            self.lagging_positions.pop(name, None)
             return False
-        known = self.behind.get(name)
+        known = self.lagging_positions.get(name)
         if known is None or known[0] != position:
-            self.behind[name] = (position, now)
+            self.lagging_positions[name] = (position, now)
             return False
-        return now - known[1] > const.LOOKUP_LAG_S
+        return now - known[1] > const.LOOKUP_MAX_LAG_S
 
-    def _draw(self, beat: peers_model.Heartbeat, service: str) -> float:
-        """Order equally near hosts, more often first by more headroom.
+    def _weighted_draw(
+        self, heartbeat: peers_model.Heartbeat, service: str
+    ) -> float:
+        """Return a sort key that is random, weighted by headroom.
 
-        Callers keep answers for seconds; always naming the host with the
-        most headroom first would send all of them to the same host.
+        It orders equally near hosts. Callers cache answers for seconds, so
+        always listing the host with the most headroom first would send all
+        of them to the same host.
         """
         free = 1 + sum(
-            room.free
-            for room in beat.headroom
-            if room.service == service and room.region == beat.host.zone.region
+            headroom.free
+            for headroom in heartbeat.headroom
+            if headroom.service == service
+            and headroom.region == heartbeat.host.zone.region
         )
         digest = xxhash.xxh64_intdigest(
-            f"{self.builds}\0{beat.host.name}".encode()
+            f"{self.answers_built}\0{heartbeat.host.name}".encode()
         )
         return -math.log((digest + 1) / (2**64 + 1)) / free
 
 
 def _wait_s(
     view: catalogue_view.CatalogueView,
-    beat: peers_model.Heartbeat,
+    heartbeat: peers_model.Heartbeat,
     rank: core.Rank,
     service: str,
 ) -> float:
-    """Return the wait for a rank at a host, none where it has free slots.
+    """Return the wait in seconds for a rank, 0.0 if slots are free.
 
-    The heartbeat's wait is the longest of the rank: a flood of one work
-    entry must not refuse those of a service that has room.
+    The wait in the heartbeat is the longest of the rank. Overload by one work
+    entry must not cause refusals for a service that has free slots.
     """
-    for room in beat.headroom:
-        region = view.regions.get(room.region)
-        if room.service != service or region is None:
+    for headroom in heartbeat.headroom:
+        region = view.regions.get(headroom.region)
+        if headroom.service != service or region is None:
             continue
         reserved = sum(
             int(
                 scheduler.guaranteed_fraction(region["guaranteed"], other)
-                * room.held
+                * headroom.held
             )
             for other in core.Rank
             if other < rank
         )
-        if room.free > reserved:
+        if headroom.free > reserved:
             return 0.0
-    return beat.wait_s[rank]
+    return heartbeat.wait_s[rank]
 
 
-def _distance(
+def _distance_key(
     view: catalogue_view.CatalogueView,
-    home: str,
+    home_region: str,
     place: str,
     zone: core.AvailabilityZone,
 ) -> tuple[bool, bool, float]:
-    latency_ms = view.latency_ms(home, zone.region)
+    latency_ms = view.latency_ms(home_region, zone.region)
     return (
         zone.name != place,
-        zone.region != home,
+        zone.region != home_region,
         math.inf if latency_ms is None else latency_ms,
     )
 
--- a/src/samphirelug/components/steering/model.py
+++ b/src/samphirelug/components/steering/model.py
@@ -1,4 +1,4 @@
-"""Define what a look-up answers."""
+"""Define look-up answers and slot counts."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class NamedEntryHost(NamedTuple):
-    """Name an entry host that a caller may send its request to."""
+    """Describe an entry host that a caller may send its request to."""
 
     name: str
     availability_zone: str
@@ -15,14 +15,14 @@
 
 
 class LookupAnswer(NamedTuple):
-    """Tell a caller which entry hosts to use, in order."""
+    """List the entry hosts that a caller should use, in order."""
 
     work: str
     rank: core.Rank
-    # The caller may cache the answer for this long.
+    # Time in seconds for which the caller may cache the answer.
     keep_s: float
     entry_hosts: tuple[NamedEntryHost, ...]
-    # Only for work that is not repeatable.
+    # None for repeatable work.
     run_token: str | None
 
 
--- a/src/samphirelug/components/steering/planner.py
+++ b/src/samphirelug/components/steering/planner.py
@@ -1,4 +1,4 @@
-"""Choose regions and backend servers for requests."""
+"""Select regions and backend servers for requests."""
 
 import math
 import random
@@ -12,25 +12,25 @@
 
 
 class CatalogueSource(Protocol):
-    """Give the catalogue in force."""
+    """Provide the catalogue in force."""
 
     @property
     def view(self) -> catalogue_view.CatalogueView:
-        """Return the view, replaced as a whole at each change."""
+        """Return the current view, replaced as a whole at each change."""
 
 
 class UnitCounts(Protocol):
-    """Count quota units; the ledger does."""
+    """Provide counts of quota units; implemented by QuotaLedger."""
 
     def usable(self, key: str) -> int:
-        """Return own units of the key, 0 once the seat has lapsed."""
+        """Return own units of the key, 0 after the seat has expired."""
 
     def free(self, key: str) -> int:
-        """Return usable units that nothing holds."""
+        """Return usable units that are not in use."""
 
 
 class SteeringPlanner:
-    """Order regions and servers by the units at hand and observed health."""
+    """Order regions and servers by distance, free units and health."""
 
     def __init__(
         self,
@@ -47,14 +47,18 @@
         self.rng = rng
         self.host = host
 
-    def regions_for(self, request: core.CallerRequest) -> tuple[str, ...]:
-        """Return the regions that may serve, home first, then by distance."""
-        return self.regions_of(
+    def regions_for_request(
+        self, request: core.CallerRequest
+    ) -> tuple[str, ...]:
+        """Return the regions that may serve a request, home region first."""
+        return self.regions_for_work(
             work=request.work, home_region=request.home_region
         )
 
-    def regions_of(self, *, work: str, home_region: str) -> tuple[str, ...]:
-        """Return the regions that may serve a work entry's callers."""
+    def regions_for_work(
+        self, *, work: str, home_region: str
+    ) -> tuple[str, ...]:
+        """Return the regions that may serve a work entry, by distance."""
         view = self.catalogue.view
         entry = view.works.get(work)
         if entry is None:
@@ -84,23 +88,23 @@
                 or self.ledger.free(f"server:{name}") < 1
             ):
                 continue
-            part = self.health.ramp(name, ramp_s=ramp_s)
-            if part >= 1.0:
+            ramp_fraction = self.health.ramp_fraction(name, ramp_s=ramp_s)
+            if ramp_fraction >= 1.0:
                 chosen.append(server)
                 continue
-            # While no other server has a free slot the choice alone would
-            # send everything here, so the slots in use are bounded as well.
-            bound = max(1, math.ceil(part * server.slots))
-            if self.health.state(name).outstanding >= bound:
+            # If no other server has a free slot, the random choice below would
+            # send all requests here, so the slots in use are limited as well.
+            max_outstanding = max(1, math.ceil(ramp_fraction * server.slots))
+            if self.health.state(name).outstanding >= max_outstanding:
                 continue
-            if self.rng.random() < part:
+            if self.rng.random() < ramp_fraction:
                 chosen.append(server)
             else:
                 ramping.append(server)
-        return self._prefer(chosen) + self._prefer(ramping)
+        return self._order_by_cost(chosen) + self._order_by_cost(ramping)
 
     def has_servers(self, *, service: str, region: str) -> bool:
-        """Return whether a server of the service in the region is usable."""
+        """Return whether a region has a usable server of the service."""
         view = self.catalogue.view
         return any(
             self.health.is_usable(server.name)
@@ -108,7 +112,7 @@
         )
 
     def slots(self, *, service: str, region: str) -> model.SlotCount:
-        """Return this host's slots of the usable servers in a region."""
+        """Count this host's slots of the usable servers in a region."""
         usable = free = 0
         view = self.catalogue.view
         for server in view.servers_in(service=service, region=region):
@@ -119,20 +123,25 @@
             free += max(0, self.ledger.free(key))
         return model.SlotCount(usable=usable, free=free)
 
-    def cost(self, server: core.BackendServer, *, latency_s: float) -> float:
-        """Return the cost of one more request, against a usual latency."""
+    def cost(
+        self, server: core.BackendServer, *, reference_latency_s: float
+    ) -> float:
+        """Return the cost of one more request to a server.
+
+        The latency of the server is compared with the reference, in seconds.
+        """
         state = self.health.state(server.name)
         cost = (state.outstanding + 1) / server.slots
         cost += const.FAILURE_COST * state.failures
-        if state.latency_s is not None and latency_s > 0.0:
-            ratio = state.latency_s / latency_s - 1.0
+        if state.latency_s is not None and reference_latency_s > 0.0:
+            ratio = state.latency_s / reference_latency_s - 1.0
             cost += const.LATENCY_COST * min(const.LATENCY_RATIO_MAX, ratio)
         age_s = self.health.timer.monotonic() - state.load_at_s
         if age_s < const.LOAD_REPORT_MAX_AGE_S:
             cost += const.LOAD_COST * state.load
         return cost
 
-    def _prefer(
+    def _order_by_cost(
         self, servers: list[core.BackendServer]
     ) -> tuple[core.BackendServer, ...]:
         if len(servers) < 2:
@@ -144,15 +153,17 @@
             for state in map(self.health.state, (first.name, second.name))
             if state.latency_s is not None
         ]
-        latency_s = min(averages, default=0.0)
-        if self._order(second, latency_s) < self._order(first, latency_s):
+        reference_latency_s = min(averages, default=0.0)
+        if self._sort_key(second, reference_latency_s) < self._sort_key(
+            first, reference_latency_s
+        ):
             order[0], order[1] = second, first
         return tuple(order)
 
-    def _order(
-        self, server: core.BackendServer, latency_s: float
+    def _sort_key(
+        self, server: core.BackendServer, reference_latency_s: float
     ) -> tuple[int, bool]:
-        cost = self.cost(server, latency_s=latency_s)
+        cost = self.cost(server, reference_latency_s=reference_latency_s)
         return (
             round(cost / const.COST_STEP),
             server.zone.name != self.host.zone.name,
