--- a/src/samphirelug/components/peers/auth.py
+++ b/src/samphirelug/components/peers/auth.py
@@ -1,7 +1,8 @@
-"""Sign and check join tokens.
+"""Sign and verify join tokens.
 
-A token answers one challenge: the side that sent the challenge accepts it
-once, within JOIN_VALID_S on its own clock. No wall clock takes part.
+A join token answers one challenge. The side that issued the challenge accepts
+one answer, within JOIN_TIMEOUT_S on its own monotonic clock, so the wall
+clocks of the hosts need not agree.
 """
 
 import random
@@ -24,7 +25,7 @@
 
 
 class JoinToken(NamedTuple):
-    """Name who joins, whom the token is meant for and what it answers."""
+    """Describe the joining host, the audience and the answered challenge."""
 
     cluster: _Text
     host: _Text
@@ -32,15 +33,16 @@
     # Name of the host that sent the challenge.
     audience: _Text
     nonce: _Text
-    # "client" or "server"; a token is never valid in the other direction.
+    # Role of the joining host, "client" or "server". A token for one role is
+    # invalid for the other.
     role: _Text
 
 
-_ADAPTER = pydantic.TypeAdapter(JoinToken)
+_JOIN_TOKEN_ADAPTER = pydantic.TypeAdapter(JoinToken)
 
 
-class OpenChallenge:
-    """Hold one challenge that this side sent; good for one check."""
+class IssuedChallenge:
+    """Store a challenge issued by this side; it can be checked once."""
 
     def __init__(
         self,
@@ -48,18 +50,18 @@
         timer: timer_helper.TimerService,
         rng: random.Random | None = None,
     ) -> None:
-        # Nonces must be unpredictable; a seeded generator is for tests.
+        # Nonces must be unpredictable; only tests pass a seeded generator.
         self.nonce = (
             secrets.token_hex(const.JOIN_NONCE_BYTES)
             if rng is None
             else f"{rng.getrandbits(8 * const.JOIN_NONCE_BYTES):032x}"
         )
-        self.valid_until_s = timer.monotonic() + const.JOIN_VALID_S
+        self.expires_at_s = timer.monotonic() + const.JOIN_TIMEOUT_S
         self.used = False
 
 
 class JoinAuthenticator:
-    """Sign tokens for this host and check those of peers."""
+    """Sign join tokens for this host and verify those of peers."""
 
     def __init__(
         self,
@@ -77,7 +79,7 @@
         )
 
     def sign(self, *, audience: str, nonce: str, role: str) -> str:
-        """Return a token that answers the audience's challenge."""
+        """Return a token that answers a challenge issued by the audience."""
         token = JoinToken(
             cluster=self.cluster,
             host=self.host.name,
@@ -92,26 +94,28 @@
         self,
         token: str,
         *,
-        challenge: OpenChallenge,
+        challenge: IssuedChallenge,
         claimed: core.EntryHost,
         role: str,
     ) -> Result[JoinToken, result_codes.Refusal]:
-        """Return the token if it answers this challenge.
+        """Return the token if it is a valid answer to the challenge.
 
-        Fails with PEER_UNAUTHENTICATED. Whatever the result, the challenge
-        is used up.
+        Fails with PEER_UNAUTHENTICATED. The challenge counts as used
+        whatever the result.
         """
         used, challenge.used = challenge.used, True
         if used:
-            return _refuse("challenge already used")
-        if self.timer.monotonic() > challenge.valid_until_s:
-            return _refuse("challenge expired")
+            return _refusal("challenge has already been answered")
+        if self.timer.monotonic() > challenge.expires_at_s:
+            return _refusal("challenge has expired")
         try:
-            read = _ADAPTER.validate_python(self.serializer.loads(token))
+            received = _JOIN_TOKEN_ADAPTER.validate_python(
+                self.serializer.loads(token)
+            )
         except itsdangerous.BadData:
-            return _refuse("bad signature")
+            return _refusal("invalid join token signature")
         except pydantic.ValidationError:
-            return _refuse("not a join token")
+            return _refusal("join token does not match the schema")
         expected = JoinToken(
             cluster=self.cluster,
             host=claimed.name,
@@ -120,13 +124,13 @@
             nonce=challenge.nonce,
             role=role,
         )
-        for field, value in zip(JoinToken._fields, read, strict=True):
+        for field, value in zip(JoinToken._fields, received, strict=True):
             if value != getattr(expected, field):
-                return _refuse(f"token is for another {field}")
-        return Success(read)
+                return _refusal(f"join token has an unexpected {field}")
+        return Success(received)
 
 
-def _refuse(detail: str) -> Result[JoinToken, result_codes.Refusal]:
+def _refusal(detail: str) -> Result[JoinToken, result_codes.Refusal]:
     return Failure(
         result_codes.Refusal(
             result_codes.ResultCode.PEER_UNAUTHENTICATED, detail
--- a/src/samphirelug/components/peers/hosts.py
+++ b/src/samphirelug/components/peers/hosts.py
@@ -1,4 +1,7 @@
-"""Follow the platform's list of live and leaving hosts."""
+"""Follow the platform's list of live and leaving hosts.
+
+The store has one list object per availability zone.
+"""
 
 from collections.abc import Callable
 import logging
@@ -20,11 +23,11 @@
 from samphirelug import result_codes
 
 _LOG = logging.getLogger(__name__)
-_PREFIX = "hosts/"
+_HOSTS_PREFIX = "hosts/"
 
 
 class ListedHost(TypedDict):
-    """Describe one host as the platform's list has it."""
+    """Describe a host as stored in the host list."""
 
     name: str
     role: Literal["entry-host", "backend-server"]
@@ -33,7 +36,7 @@
 
 
 class ZoneHosts(TypedDict):
-    """Hold the list of one availability zone."""
+    """Define the stored list of one availability zone."""
 
     hosts: list[ListedHost]
 
@@ -45,9 +48,9 @@
     leaving: bool
     # Revision of the list object that the state was read from.
     revision: int
-    # Revision at which this host first saw the state. The list lags, so a
-    # later revision that repeats "live" says nothing about a server that
-    # was seen leaving in another way meanwhile.
+    # Revision at which this host first read the current state. The list
+    # lags, so a later revision that still says "live" does not override a
+    # leaving state that was observed elsewhere in the meantime.
     changed_revision: int
 
 
@@ -55,20 +58,20 @@
 
 
 class HostListState:
-    """Merge list objects in the order of their revisions; pure."""
+    """Merge list objects by revision, without input or output."""
 
     def __init__(self) -> None:
         self.zones: dict[str, list[ListedHost]] = {}
         self.revisions: dict[str, int] = {}
         self.servers: dict[str, ServerState] = {}
-        # Object key to the reason for which its last value was not used.
+        # Maps object keys to the reason why the latest value was rejected.
         self.rejected: dict[str, str] = {}
 
     def apply(self, stored: store_model.StoredObject) -> bool:
-        """Apply one object; False if it is old, invalid or not a zone's."""
-        if not stored.key.startswith(_PREFIX):
+        """Apply an object; return False if it is old, invalid or no list."""
+        if not stored.key.startswith(_HOSTS_PREFIX):
             return False
-        zone = stored.key.removeprefix(_PREFIX)
+        zone = stored.key.removeprefix(_HOSTS_PREFIX)
         if stored.revision <= self.revisions.get(zone, 0):
             return False
         try:
@@ -76,7 +79,9 @@
         except pydantic.ValidationError as error:
             reason = str(error.errors(include_url=False)[0]["msg"])
             if self.rejected.get(stored.key) != reason:
-                _LOG.warning("Host list %s not used: %s", stored.key, reason)
+                _LOG.warning(
+                    "Ignoring invalid host list %s: %s", stored.key, reason
+                )
             self.rejected[stored.key] = reason
             return False
         self.rejected.pop(stored.key, None)
@@ -90,12 +95,16 @@
     def entry_hosts(
         self, region_of: Callable[[str], str | None]
     ) -> tuple[core.EntryHost, ...]:
-        """Return the live entry hosts, with incarnations unknown."""
+        """Return the live entry hosts.
+
+        The list does not contain incarnations, so they are empty.
+        """
         return tuple(
             core.EntryHost(
                 name=listed["name"],
                 incarnation="",
-                # Zones whose region is unknown never count as one region.
+                # A zone without a known region counts as its own region, so
+                # that two such zones are never in the same one.
                 zone=core.AvailabilityZone(zone, region_of(zone) or zone),
                 caller_urls=("", "", ""),
                 peer_url=listed.get("peer_url", ""),
@@ -107,21 +116,22 @@
 
     def _set_server(self, listed: ListedHost, revision: int) -> None:
         leaving = listed["state"] == "leaving"
-        old = self.servers.get(listed["name"])
+        previous = self.servers.get(listed["name"])
         changed = revision
-        if old is not None and old.leaving is leaving:
-            changed = old.changed_revision
+        if previous is not None and previous.leaving is leaving:
+            changed = previous.changed_revision
         self.servers[listed["name"]] = ServerState(
             listed["name"], leaving, revision, changed
         )
 
 
 class HostList:
-    """Read the host list from the store and report its changes.
+    """Read the host list from the store and report changes.
 
-    The zone's watchers watch the whole list. Other hosts read it once at the
-    start and then poll slowly: the whole list while it is small, else their
-    own zone, since the whole list has hundreds of kilobytes at full size.
+    The watchers of a zone watch the list of all zones. Other hosts read it
+    at the start and then poll it at long intervals: all zones while there
+    are few hosts, otherwise their own zone only, since the list of a full
+    fleet has hundreds of kilobytes.
     """
 
     def __init__(
@@ -145,7 +155,7 @@
         self.on_entry_hosts = on_entry_hosts
         self.on_servers = on_servers
         self.state = HostListState()
-        # Store revision that a watch continues from; 0 before a full list.
+        # Store revision from which to watch; 0 before all zones were read.
         self.watched_revision = 0
 
     async def run(self) -> None:
@@ -154,29 +164,30 @@
             await self.timer.sleep(await self.step())
 
     async def step(self) -> float:
-        """Make one read or watch; return seconds to wait before the next."""
+        """Read or watch once; return the delay before the next call in s."""
         if not self.watched_revision:
             return await self._list()
         if self.is_watcher():
             return await self._watch()
-        if self._is_small():
+        if self._fits_full_mesh():
             return await self._list()
-        # A later watch has to start from a full list again.
-        result = await self.store.get(_PREFIX + self.host.zone.name)
+        # Reads one zone without advancing watched_revision: a later watch has
+        # to continue from the last read of all zones.
+        result = await self.store.get(_HOSTS_PREFIX + self.host.zone.name)
         match result:
             case Success(store_model.StoredObject() as stored):
                 self._apply((stored,))
-                return self._until_poll()
+                return self._poll_delay_s()
             case Failure(result_codes.Refusal() as refusal):
-                return self._until_retry(refusal)
+                return self._retry_delay_s(refusal)
         return const.HOST_LIST_RETRY_S
 
     def publish(self) -> None:
-        """Report the entry hosts again, for a changed catalogue."""
+        """Report the entry hosts again after a change of the catalogue."""
         self.on_entry_hosts(self.state.entry_hosts(self.region_of))
 
     async def _list(self) -> float:
-        match await self.store.list(_PREFIX):
+        match await self.store.list(_HOSTS_PREFIX):
             case Success(store_model.Listing() as listing):
                 self._apply(listing.objects)
                 self.watched_revision = max(
@@ -184,14 +195,14 @@
                 )
                 if self.is_watcher() and self.watched_revision:
                     return 0.0
-                return self._until_poll()
+                return self._poll_delay_s()
             case Failure(result_codes.Refusal() as refusal):
-                return self._until_retry(refusal)
+                return self._retry_delay_s(refusal)
         return const.HOST_LIST_RETRY_S
 
     async def _watch(self) -> float:
         match await self.store.watch(
-            _PREFIX,
+            _HOSTS_PREFIX,
             after=self.watched_revision,
             timeout_s=const.HOST_LIST_WATCH_S,
         ):
@@ -202,7 +213,7 @@
                 )
                 return 0.0
             case Failure(result_codes.Refusal() as refusal):
-                return self._until_retry(refusal)
+                return self._retry_delay_s(refusal)
         return const.HOST_LIST_RETRY_S
 
     def _apply(self, objects: tuple[store_model.StoredObject, ...]) -> None:
@@ -212,7 +223,7 @@
         self.publish()
         self.on_servers(tuple(self.state.servers.values()))
 
-    def _is_small(self) -> bool:
+    def _fits_full_mesh(self) -> bool:
         count = sum(
             listed["role"] == "entry-host"
             for hosts in self.state.zones.values()
@@ -220,10 +231,10 @@
         )
         return count <= const.FULL_MESH_MAX_HOSTS
 
-    def _until_poll(self) -> float:
+    def _poll_delay_s(self) -> float:
         return const.HOST_LIST_POLL_S * (0.5 + self.rng.random())
 
-    def _until_retry(self, refusal: result_codes.Refusal) -> float:
-        _LOG.info("Host list not read: %s", refusal.detail)
+    def _retry_delay_s(self, refusal: result_codes.Refusal) -> float:
+        _LOG.info("Could not read the host list: %s", refusal.detail)
         wait_s = max(const.HOST_LIST_RETRY_S, refusal.retry_after_s)
         return wait_s * (0.5 + self.rng.random())
--- a/src/samphirelug/components/peers/io_connection.py
+++ b/src/samphirelug/components/peers/io_connection.py
@@ -1,4 +1,4 @@
-"""Hold an authenticated connection to a peer and what waits on it."""
+"""Define connections to peers and requests that await a reply."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class PeerConnection:
-    """Hold one authenticated connection and its queue."""
+    """Represent an authenticated connection with its send queue."""
 
     def __init__(
         self,
@@ -25,28 +25,28 @@
         self.host = host
         self.dialled = dialled
         self.queue = send_queue.SendQueue()
-        self.wake = asyncio.Event()
+        self.data_queued = asyncio.Event()
         self.encoder = codec.SparseEncoder()
         self.decoder = codec.SparseDecoder()
         self.received_at_s = now
 
     def put(self, frame: bytes) -> None:
-        """Queue a frame without waiting."""
+        """Queue a frame for sending."""
         self.queue.put(frame)
-        self.wake.set()
+        self.data_queued.set()
 
     def put_heartbeat(self, heartbeat: model.Heartbeat) -> None:
-        """Queue a heartbeat without waiting."""
+        """Queue a heartbeat for sending; replaces one still queued."""
         self.queue.put_heartbeat(heartbeat)
-        self.wake.set()
+        self.data_queued.set()
 
-    async def write(self) -> None:
-        """Send what is queued until the connection closes."""
+    async def send_queued(self) -> None:
+        """Send queued frames and heartbeats until the connection closes."""
         while True:
             item = self.queue.take()
             if item is None:
-                self.wake.clear()
-                await self.wake.wait()
+                self.data_queued.clear()
+                await self.data_queued.wait()
                 continue
             if isinstance(item, model.Heartbeat):
                 item = self.encoder.encode(item)
@@ -54,7 +54,7 @@
 
 
 class PendingRequest:
-    """Hold the future of a request and the peer that was asked."""
+    """Represent a request to a peer whose reply is outstanding."""
 
     def __init__(
         self, *, host: str, future: "asyncio.Future[model.Message | None]"
@@ -62,7 +62,7 @@
         self.host = host
         self.future = future
 
-    def finish(self, message: model.Message | None) -> None:
-        """Set the reply, or None where none will come."""
+    def resolve(self, message: model.Message | None) -> None:
+        """Set the reply, or None if there will be none."""
         if not self.future.done():
             self.future.set_result(message)
--- a/src/samphirelug/components/peers/io_handshake.py
+++ b/src/samphirelug/components/peers/io_handshake.py
@@ -1,4 +1,4 @@
-"""Prove to a peer who this host is, and check who the peer is."""
+"""Authenticate this host and a peer to each other on a new connection."""
 
 from collections.abc import Iterator
 import contextlib
@@ -20,8 +20,8 @@
 _T = TypeVar("_T")
 
 
-class TurnedAwayError(Exception):
-    """Carry why a handshake ended."""
+class HandshakeError(Exception):
+    """Report a failed handshake with the refusal to send to the peer."""
 
     def __init__(self, refusal: result_codes.Refusal) -> None:
         super().__init__(refusal.detail)
@@ -29,7 +29,7 @@
 
 
 class Handshake:
-    """Join a peer, as the client or as the server of a connection."""
+    """Run handshakes as the client or the server of a connection."""
 
     def __init__(
         self,
@@ -42,54 +42,56 @@
         self.auth = authenticator
         self.timer = timer
 
-    async def prove(
+    async def join_as_client(
         self,
         websocket: ws_connection.Connection,
         challenge: model.Challenge,
         protocol: int,
     ) -> core.EntryHost:
-        """Join as the client; return the host that was proved."""
-        own = auth.OpenChallenge(timer=self.timer)
+        """Join as the client; return the authenticated host."""
+        issued = auth.IssuedChallenge(timer=self.timer)
         token = self.auth.sign(
             audience=challenge.host, nonce=challenge.nonce, role="client"
         )
         hello = model.Hello(
-            protocol=protocol, host=self.host, token=token, nonce=own.nonce
+            protocol=protocol, host=self.host, token=token, nonce=issued.nonce
         )
         await websocket.send(codec.encode(hello))
         welcome = await receive(websocket, model.Welcome)
         if welcome.host.name != challenge.host:
-            raise TurnedAwayError(
+            raise HandshakeError(
                 result_codes.Refusal(
-                    _Code.PEER_UNAUTHENTICATED, "name changed in handshake"
+                    _Code.PEER_UNAUTHENTICATED,
+                    "host name changed during the handshake",
                 )
             )
-        self._check(welcome.token, own, welcome.host, role="server")
+        self._check(welcome.token, issued, welcome.host, role="server")
         return welcome.host
 
-    async def admit(
+    async def join_as_server(
         self, websocket: ws_connection.Connection
     ) -> core.EntryHost:
-        """Join as the server."""
-        own = auth.OpenChallenge(timer=self.timer)
+        """Join as the server; return the authenticated host."""
+        issued = auth.IssuedChallenge(timer=self.timer)
         await websocket.send(
             codec.encode(
                 model.Challenge(
                     protocol_min=const.PROTOCOL_MIN,
                     protocol_max=const.PROTOCOL_MAX,
                     host=self.host.name,
-                    nonce=own.nonce,
+                    nonce=issued.nonce,
                 )
             )
         )
         hello = await receive(websocket, model.Hello)
         if not (const.PROTOCOL_MIN <= hello.protocol <= const.PROTOCOL_MAX):
-            raise TurnedAwayError(version_refusal(hello.protocol))
-        self._check(hello.token, own, hello.host, role="client")
+            raise HandshakeError(version_refusal(hello.protocol))
+        self._check(hello.token, issued, hello.host, role="client")
         if hello.host.name == self.host.name:
-            raise TurnedAwayError(
+            raise HandshakeError(
                 result_codes.Refusal(
-                    _Code.PEER_UNAUTHENTICATED, "name of this host"
+                    _Code.PEER_UNAUTHENTICATED,
+                    "peer uses the name of this host",
                 )
             )
         welcome = model.Welcome(
@@ -105,7 +107,7 @@
     def _check(
         self,
         token: str,
-        challenge: auth.OpenChallenge,
+        challenge: auth.IssuedChallenge,
         claimed: core.EntryHost,
         *,
         role: str,
@@ -115,15 +117,15 @@
         )
         match result:
             case Failure(refusal):
-                raise TurnedAwayError(refusal)
+                raise HandshakeError(refusal)
 
     @contextlib.contextmanager
     def join_deadline(
         self, websocket: ws_connection.Connection
     ) -> Iterator[None]:
-        """Abort a handshake that takes longer than JOIN_VALID_S."""
+        """Abort a handshake that takes longer than JOIN_TIMEOUT_S."""
         expiry = self.timer.call_at(
-            when_s=self.timer.monotonic() + const.JOIN_VALID_S,
+            when_s=self.timer.monotonic() + const.JOIN_TIMEOUT_S,
             callback=websocket.transport.abort,
         )
         try:
@@ -132,32 +134,36 @@
             expiry.cancel()
 
 
-async def receive(websocket: ws_connection.Connection, kind: type[_T]) -> _T:
-    """Return a message of the kind, or end the handshake."""
+async def receive(
+    websocket: ws_connection.Connection, message_type: type[_T]
+) -> _T:
+    """Return a message of the type; HandshakeError on any other."""
     data = await websocket.recv()
-    detail = "text frame"
+    detail = "received a text frame"
     if isinstance(data, bytes):
         if len(data) > const.MAX_HANDSHAKE_BYTES:
-            raise TurnedAwayError(
+            raise HandshakeError(
                 result_codes.Refusal(
-                    _Code.PEER_MESSAGE_TOO_LARGE, "in handshake"
+                    _Code.PEER_MESSAGE_TOO_LARGE, "handshake message too large"
                 )
             )
         match codec.decode(data):
-            case Success(model.Frame(message)) if isinstance(message, kind):
+            case Success(model.Frame(message)) if isinstance(
+                message, message_type
+            ):
                 return message
             case Failure(result_codes.Refusal() as refusal):
-                raise TurnedAwayError(refusal)
-        detail = f"expected {kind.__name__}"
-    raise TurnedAwayError(
+                raise HandshakeError(refusal)
+        detail = f"expected a {message_type.__name__} message"
+    raise HandshakeError(
         result_codes.Refusal(_Code.PEER_UNAUTHENTICATED, detail)
     )
 
 
 def version_refusal(version: int) -> result_codes.Refusal:
-    """Return the refusal of a protocol version."""
+    """Return the refusal of an unsupported protocol version."""
     return result_codes.Refusal(
         _Code.PEER_VERSION_UNSUPPORTED,
-        f"version {version}, supported are {const.PROTOCOL_MIN} to "
-        f"{const.PROTOCOL_MAX}",
+        f"protocol version {version} is not supported; supported are "
+        f"{const.PROTOCOL_MIN} to {const.PROTOCOL_MAX}",
     )
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -1,4 +1,4 @@
-"""Connect entry hosts by websockets."""
+"""Connect entry hosts to each other over websockets."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,15 +37,17 @@
 _LOG = logging.getLogger(__name__)
 _Code = result_codes.ResultCode
 _HANDSHAKE = (model.Challenge, model.Hello, model.Welcome)
-# Sent with a normal closure when the pair already has a connection.
+# Close reason if two hosts already have a connection to each other; peers
+# match it.
 _DUPLICATE = "duplicate connection"
-# Tells a process that its host name has been taken over by a later start.
+# Close reason that tells a process that a process started later uses its host
+# name; peers match it.
 _SUPERSEDED = "incarnation superseded"
 _TRANSPORT_ERRORS = (OSError, exceptions.WebSocketException, TimeoutError)
 
 
 class WebsocketMesh(mesh.PeerMesh):
-    """Keep one connection to each wanted peer and pass messages."""
+    """Maintain one connection to each chosen peer and exchange messages."""
 
     def __init__(
         self,
@@ -63,7 +65,7 @@
         self.host = host
         self.timer = timer
         self.heartbeat = heartbeat
-        # Only jitter and test nonces come from here.
+        # Used for jitter only, so it need not be unpredictable.
         self.rng = rng if rng is not None else random.Random()
         self.metrics = metrics
         self.sock = sock
@@ -75,61 +77,66 @@
             ),
         )
         self.membership = peer_membership.Membership(own=host)
+        # Maps seed URLs to the name of the host found there, once known.
         self.seeds = {url: "" for url in seeds if url != host.peer_url}
         self.connections: dict[str, io_connection.PeerConnection] = {}
-        self.on_members: list[Callable[[], None]] = []
-        # Called when a peer has seen a later start under this host's name.
+        self.on_members_changed: list[Callable[[], None]] = []
+        # Called when a peer reports that a process started later uses the name
+        # of this host.
         self.on_superseded: list[Callable[[], None]] = []
-        self._live_peers: tuple[float, tuple[model.PeerView, ...]] = (
+        # Expiry time and result of the last live_peers().
+        self._live_peers_cache: tuple[float, tuple[model.PeerView, ...]] = (
             float("-inf"),
             (),
         )
-        self._planned: topology.Plan | None = None
-        self._planned_at_s = float("-inf")
-        # Members that the plan was made from.
-        self._planned_for: tuple[int, frozenset[str]] | None = None
+        self._cached_plan: topology.Plan | None = None
+        self._plan_checked_at_s = float("-inf")
+        # Version and unavailable hosts of the membership that the cached plan
+        # was made from.
+        self._plan_inputs: tuple[int, frozenset[str]] | None = None
         self.relay = peer_relay.Relay(own=host)
         self._handlers: dict[type, mesh.Handler] = {}
         self._pending: dict[int, io_connection.PendingRequest] = {}
         self._ids = itertools.count(1)
         self._dialers: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._handling = 0
-        self._unjoined = 0
-        # Hosts that a dialled handshake is under way with; a setting and the
-        # host list may name the same one.
-        self._greeting: set[str] = set()
-        # Hosts dialled for a request, by when the connection may close.
+        self._running_handlers = 0
+        self._pending_handshakes = 0
+        # Hosts that this one dialled and whose handshake is in progress. A
+        # seed URL and the host list may refer to the same host.
+        self._handshakes_with: set[str] = set()
+        # Maps hosts dialled for a request to the time when the connection may
+        # be closed.
         self._on_demand: dict[str, float] = {}
-        self._connected: dict[str, asyncio.Event] = {}
+        self._connected_events: dict[str, asyncio.Event] = {}
         self._subscription: timer_helper.Subscription | None = None
         self._relay_subscription: timer_helper.Subscription | None = None
         self._server: server.Server | None = None
         self._last_heartbeat_s = float("-inf")
-        # Heartbeat whose amounts were sent last.
-        self._amounts_of: model.Heartbeat | None = None
+        # Heartbeat whose amounts were last sent to the peers.
+        self._amounts_heartbeat: model.Heartbeat | None = None
         self._amounts_at_s = float("-inf")
-        self._early: timer_helper.Subscription | None = None
+        self._early_heartbeat: timer_helper.Subscription | None = None
         self._stopped = False
 
     async def start(self) -> None:
-        """Listen and begin to dial; OSError if the address is taken."""
+        """Start to listen and dial; OSError if the address is in use."""
         address = parse.urlsplit(self.host.peer_url)
-        where: dict[str, Any] = (
+        options: dict[str, Any] = (
             {"sock": self.sock}
             if self.sock is not None
             else {"host": address.hostname, "port": address.port}
         )
         self._server = await server.serve(
             self._accept,
-            **where,
+            **options,
             max_size=shared_const.MAX_PEER_MESSAGE_BYTES,
-            # Frames read ahead; more only use memory, since the reader
-            # handles one frame at a time.
+            # Number of frames read ahead. More would only use memory, since
+            # the reader handles one frame at a time.
             max_queue=2,
             compression=None,
             ping_interval=None,
-            close_timeout=const.CLOSE_S,
+            close_timeout=const.CLOSE_TIMEOUT_S,
         )
         self._subscription = self.timer.subscribe(
             interval_s=shared_const.HEARTBEAT_INTERVAL_S, callback=self._tick
@@ -150,7 +157,7 @@
             for connection in self.connections.values()
         ]
         abort = self.timer.call_at(
-            when_s=self.timer.monotonic() + const.CLOSE_S,
+            when_s=self.timer.monotonic() + const.CLOSE_TIMEOUT_S,
             callback=lambda: _abort(transports),
         )
         tasks = [*self._dialers.values(), *self._tasks]
@@ -162,19 +169,19 @@
             await self._server.wait_closed()
         abort.cancel()
         for pending in self._pending.values():
-            pending.finish(None)
+            pending.resolve(None)
 
     def set_known_hosts(self, hosts: Iterable[core.EntryHost]) -> None:
-        """Replace the hosts that the platform's list names."""
+        """Replace the hosts known from the platform's host list."""
         self.membership.set_listed(hosts, now=self.timer.monotonic())
-        self._planned_at_s = float("-inf")
+        self._plan_checked_at_s = float("-inf")
         self._update_dialers()
 
     def is_watcher(self) -> bool:
-        """Tell whether this host is a watcher of its zone now."""
+        """Return whether this host is currently a watcher of its zone."""
         now = self.timer.monotonic()
-        if not self._mesh_is_full():
-            plan = self._plan(now)
+        if not self._is_full_mesh():
+            plan = self._current_plan(now)
             if plan.zones:
                 zone = self.host.zone.name
                 return self.host.name in plan.watchers_in(zone)
@@ -183,19 +190,19 @@
         )
 
     def live_peers(self) -> tuple[model.PeerView, ...]:
-        """Return the peers heard within PEER_TIMEOUT_S.
+        """Return the peers whose heartbeat is at most PEER_TIMEOUT_S old.
 
-        Above the full mesh, also the few hosts of each other zone that its
-        summary names, without headroom; they are not connected.
+        Above the full mesh, also includes the few hosts of each other zone
+        that its summary contains, without headroom; they are not connected.
         """
         now = self.timer.monotonic()
-        kept_until_s, views = self._live_peers
-        if now >= kept_until_s:
-            views = self._view_peers(now)
-            self._live_peers = (now + const.LIVE_PEERS_KEEP_S, views)
+        valid_until_s, views = self._live_peers_cache
+        if now >= valid_until_s:
+            views = self._collect_live_peers(now)
+            self._live_peers_cache = (now + const.LIVE_PEERS_CACHE_S, views)
         return views
 
-    def _view_peers(self, now: float) -> tuple[model.PeerView, ...]:
+    def _collect_live_peers(self, now: float) -> tuple[model.PeerView, ...]:
         heard = tuple(
             model.PeerView(
                 heartbeat=member.heartbeat,
@@ -205,22 +212,24 @@
             for member in self.membership.live(now=now)
             if member.heartbeat is not None and member.heard_at_s is not None
         )
-        if self._mesh_is_full():
+        if self._is_full_mesh():
             return heard
         names = {view.heartbeat.host.name for view in heard}
         return heard + tuple(
-            model.PeerView(heartbeat=beat, heard_at_s=now, connected=False)
-            for beat in self.relay.far_hosts(now=now)
-            if beat.host.name not in names
+            model.PeerView(
+                heartbeat=heartbeat, heard_at_s=now, connected=False
+            )
+            for heartbeat in self.relay.remote_hosts(now=now)
+            if heartbeat.host.name not in names
         )
 
     async def request(
         self, host: str, message: model.Message, *, timeout_s: float
     ) -> Result[model.Message, result_codes.Refusal]:
-        """Send a message and return its answer.
+        """Send a message and return its reply.
 
-        Fails with PEER_UNREACHABLE when no answer came in time, and with
-        PEER_MESSAGE_TOO_LARGE. A known host without a connection is dialled.
+        Fails with PEER_UNREACHABLE if no reply arrives within timeout_s, and
+        with PEER_MESSAGE_TOO_LARGE. Dials a known host if not connected.
         """
         message_id = next(self._ids)
         try:
@@ -233,11 +242,13 @@
         self._pending[message_id] = pending
         expiry = self.timer.call_at(
             when_s=self.timer.monotonic() + timeout_s,
-            callback=lambda: pending.finish(None),
+            callback=lambda: pending.resolve(None),
         )
         try:
-            if not await self._reach(host, pending):
-                return _refuse(_Code.PEER_UNREACHABLE, f"no link to {host}")
+            if not await self._ensure_connected(host, pending):
+                return _refuse(
+                    _Code.PEER_UNREACHABLE, f"no connection to {host}"
+                )
             self.connections[host].put(frame)
             reply = await pending.future
         finally:
@@ -248,50 +259,56 @@
         return Success(reply)
 
     def send(self, host: str, message: model.Message) -> None:
-        """Send a message without an answer, if the peer is connected."""
+        """Send a message that needs no reply, if the peer is connected."""
         connection = self.connections.get(host)
         if connection is not None:
-            self._put([connection], message)
+            self._send_frame([connection], message)
 
     def broadcast(self, message: model.Message) -> None:
-        """Send a message to all connected peers; a sighting, to all hosts."""
-        if isinstance(message, model.Sighting) and not self._mesh_is_full():
+        """Send to all connected peers; a sighting is relayed to all hosts."""
+        if isinstance(message, model.Sighting) and not self._is_full_mesh():
             self.relay.originate(message, now=self.timer.monotonic())
             return
-        self._put(self.connections.values(), message)
+        self._send_frame(self.connections.values(), message)
 
     def set_handler(self, kind: type, handler: mesh.Handler) -> None:
-        """Call the handler for each received message of the type."""
+        """Register the handler of received messages of a type."""
         self._handlers[kind] = handler
 
     def heartbeat_now(self) -> None:
-        """Send a heartbeat early, such as for a changed state or position."""
+        """Send a heartbeat before the next tick, after a state change.
+
+        Heartbeats are at least HEARTBEAT_MIN_INTERVAL_S apart; one that is
+        requested sooner is sent when this time is over.
+        """
         now = self.timer.monotonic()
         due_s = self._last_heartbeat_s + const.HEARTBEAT_MIN_INTERVAL_S
         if now < due_s:
-            if self._early is None and not self._stopped:
-                self._early = self.timer.call_at(
+            if self._early_heartbeat is None and not self._stopped:
+                self._early_heartbeat = self.timer.call_at(
                     when_s=due_s, callback=self._send_early
                 )
             return
         self._last_heartbeat_s = now
-        beat = self._thin_out(self.heartbeat(), now)
+        heartbeat = self._throttle_amounts(self.heartbeat(), now)
         for connection in self.connections.values():
-            connection.put_heartbeat(beat)
+            connection.put_heartbeat(heartbeat)
 
-    def _thin_out(self, beat: model.Heartbeat, now: float) -> model.Heartbeat:
-        """Repeat the last amounts until new ones are due."""
-        last = self._amounts_of
+    def _throttle_amounts(
+        self, heartbeat: model.Heartbeat, now: float
+    ) -> model.Heartbeat:
+        """Return the heartbeat, with the last amounts until others are due."""
+        last = self._amounts_heartbeat
         due_s = self._amounts_at_s + const.AMOUNTS_INTERVAL_S
-        if last is None or now >= due_s or self._mesh_is_full():
-            self._amounts_of, self._amounts_at_s = beat, now
-            return beat
-        return beat._replace(
+        if last is None or now >= due_s or self._is_full_mesh():
+            self._amounts_heartbeat, self._amounts_at_s = heartbeat, now
+            return heartbeat
+        return heartbeat._replace(
             headroom=last.headroom, queued=last.queued, wait_s=last.wait_s
         )
 
     def _send_early(self) -> None:
-        self._early = None
+        self._early_heartbeat = None
         if not self._stopped:
             self.heartbeat_now()
 
@@ -299,56 +316,59 @@
         now = self.timer.monotonic()
         self.heartbeat_now()
         for connection in tuple(self.connections.values()):
-            if now - connection.received_at_s > const.SILENT_CONNECTION_S:
-                self._drop(connection, 1001, "silent")
-        self.membership.forget(now=now)
+            if now - connection.received_at_s > const.RECEIVE_TIMEOUT_S:
+                self._close_connection(connection, 1001, "silent")
+        self.membership.remove_expired(now=now)
         self._update_dialers()
 
     def _tick_relay(self) -> None:
-        if self._mesh_is_full():
+        if self._is_full_mesh():
             return
         now = self.timer.monotonic()
-        plan = self._plan(now)
+        plan = self._current_plan(now)
         own_zone = self.host.zone.name
         own_watchers = plan.watchers_in(own_zone) or (self.host.name,)
         watcher = self.host.name in own_watchers
-        carriers, others = [], []
+        primary_watchers, others = [], []
         for name, connection in self.connections.items():
             zone = connection.host.zone.name
             watchers = plan.watchers_in(zone)
             if name in watchers[:1]:
-                carriers.append(name)
+                primary_watchers.append(name)
             elif name in watchers or (zone == own_zone and watcher):
                 others.append(name)
-        first = own_watchers[0] == self.host.name
+        is_primary = own_watchers[0] == self.host.name
         self.relay.set_peers(
-            watcher=watcher, carrier=first, carriers=carriers, others=others
+            watcher=watcher,
+            primary_watcher=is_primary,
+            primary_watchers=primary_watchers,
+            others=others,
         )
         for outgoing in self.relay.tick(
             own=self.heartbeat(),
             zone=(
-                beat
+                heartbeat
                 for member in self.membership.live(now=now)
                 if member.host.zone.name == own_zone
-                and (beat := member.heartbeat) is not None
+                and (heartbeat := member.heartbeat) is not None
             ),
-            first_watcher=first,
+            build_summary=is_primary,
             now=now,
         ):
             self.send(outgoing.peer, outgoing.message)
 
-    def _relay_in(self, name: str, message: model.Message) -> None:
-        """Give a relayed message to the relay and its news to handlers."""
+    def _pass_to_relay(self, name: str, message: model.Message) -> None:
+        """Pass a message to the relay and new sightings to the handler."""
         now = self.timer.monotonic()
         if isinstance(message, model.Heartbeat):
-            # Handlers of heartbeats see the sightings in it anyway.
-            if not self._mesh_is_full():
-                self.relay.heard(message, now=now)
+            # The handler of heartbeats processes the sightings in it.
+            if not self._is_full_mesh():
+                self.relay.handle_heartbeat(message, now=now)
         elif isinstance(message, model.Relayed):
             for sighting in self.relay.receive(name, message, now=now):
                 self._dispatch(name, model.Frame(sighting))
 
-    def _put(
+    def _send_frame(
         self,
         connections: Iterable[io_connection.PeerConnection],
         message: model.Message,
@@ -356,25 +376,25 @@
         try:
             frame = codec.encode(message)
         except ValueError as error:
-            _LOG.error("Peer message not sent: %s", error)
-            self._count(type(message).__name__, "too_large")
+            _LOG.error("Could not send a peer message: %s", error)
+            self._count_message(type(message).__name__, "too_large")
             return
         for connection in connections:
             connection.put(frame)
 
-    async def _reach(
+    async def _ensure_connected(
         self, host: str, pending: io_connection.PendingRequest
     ) -> bool:
         if host in self.connections:
             if host in self._on_demand:
-                self._keep_on_demand(host)
+                self._extend_on_demand(host)
             return True
         member = self.membership.members.get(host)
         if member is None or not member.host.peer_url or self._stopped:
             return False
-        self._keep_on_demand(host)
+        self._extend_on_demand(host)
         self._update_dialers()
-        event = self._connected.setdefault(host, asyncio.Event())
+        event = self._connected_events.setdefault(host, asyncio.Event())
         connected = asyncio.ensure_future(event.wait())
         try:
             await asyncio.wait(
@@ -385,74 +405,77 @@
             connected.cancel()
         return host in self.connections
 
-    def _keep_on_demand(self, host: str) -> None:
+    def _extend_on_demand(self, host: str) -> None:
         self._on_demand[host] = self.timer.monotonic() + const.ON_DEMAND_IDLE_S
 
     # Dialling.
 
-    def _wanted(self) -> frozenset[str]:
+    def _peers_to_dial(self) -> frozenset[str]:
         now = self.timer.monotonic()
         self._on_demand = {
             name: until
             for name, until in self._on_demand.items()
             if until > now
         }
-        if self._mesh_is_full():
-            wanted = frozenset(self.membership.members)
+        if self._is_full_mesh():
+            peers_to_dial = frozenset(self.membership.members)
         else:
-            wanted = self._plan(now).wanted
-        # A leaving host still hands over its outcomes.
+            peers_to_dial = self._current_plan(now).to_dial
+        # Stay connected to leaving hosts, which hand over their outcomes.
         leaving = {
             name
             for name in self.connections
             if self.membership.state_of(name, now=now)
             is model.MemberState.LEAVING
         }
-        return wanted | self._on_demand.keys() | leaving
+        return peers_to_dial | self._on_demand.keys() | leaving
 
-    def _plan(self, now: float) -> topology.Plan:
-        plan = self._planned
-        if plan is None or now - self._planned_at_s >= const.PLAN_INTERVAL_S:
+    def _current_plan(self, now: float) -> topology.Plan:
+        plan = self._cached_plan
+        if (
+            plan is None
+            or now - self._plan_checked_at_s >= const.PLAN_INTERVAL_S
+        ):
             members = (
                 self.membership.version,
                 self.membership.unavailable(now=now),
             )
-            if plan is None or members != self._planned_for:
+            if plan is None or members != self._plan_inputs:
                 plan = topology.make_plan(
                     topology.Node(self.host.name, self.host.zone),
                     self.membership.candidates(now=now),
                 )
-                self._planned, self._planned_for = plan, members
-            self._planned_at_s = now
+                self._cached_plan, self._plan_inputs = plan, members
+            self._plan_checked_at_s = now
         return plan
 
     def _update_dialers(self) -> None:
         if self._stopped or self._subscription is None:
             return
-        wanted = self._wanted()
-        # Above the full mesh, settings only help to find the first hosts.
-        bootstrap = self._mesh_is_full() or not self.connections
-        for name in wanted - self._dialers.keys():
-            self._dialers[name] = self._spawn(self._keep_dialled(name))
+        peers_to_dial = self._peers_to_dial()
+        # Above the full mesh, the seeds are only used to find the first hosts.
+        bootstrap = self._is_full_mesh() or not self.connections
+        for name in peers_to_dial - self._dialers.keys():
+            self._dialers[name] = self._spawn(self._maintain_connection(name))
         for url in self.seeds if bootstrap else ():
             if url not in self._dialers:
-                self._dialers[url] = self._spawn(self._keep_seed(url))
-        for key in self._dialers.keys() - wanted:
+                self._dialers[url] = self._spawn(self._maintain_seed(url))
+        for key in self._dialers.keys() - peers_to_dial:
             if key in self.seeds and bootstrap:
                 continue
             self._dialers.pop(key).cancel()
             connection = self.connections.get(key)
             if connection is not None and connection.dialled:
-                self._drop(connection, 1000, "not wanted")
+                self._close_connection(connection, 1000, "not wanted")
 
-    def _mesh_is_full(self) -> bool:
+    def _is_full_mesh(self) -> bool:
         known = len(self.membership.members) + 1
         return known <= const.FULL_MESH_MAX_HOSTS
 
-    async def _keep_dialled(self, name: str) -> None:
+    async def _maintain_connection(self, name: str) -> None:
         if self.host.name > name and name not in self._on_demand:
             await self.timer.sleep(
-                const.SECOND_DIAL_DELAY_S * (1 + self.rng.random())
+                const.LARGER_NAME_DIAL_DELAY_S * (1 + self.rng.random())
             )
         delay_s = const.RECONNECT_MIN_S
         while True:
@@ -462,13 +485,13 @@
                 if url and await self._dial(url, name):
                     delay_s = const.RECONNECT_MIN_S
                 elif name not in self.connections:
-                    self.membership.unreachable(
+                    self.membership.record_dial_failure(
                         name, now=self.timer.monotonic()
                     )
                     delay_s = min(2 * delay_s, const.RECONNECT_MAX_S)
             await self.timer.sleep(delay_s * (0.5 + self.rng.random()))
 
-    async def _keep_seed(self, url: str) -> None:
+    async def _maintain_seed(self, url: str) -> None:
         delay_s = const.RECONNECT_MIN_S
         while self.seeds[url] != self.host.name:
             if self.seeds[url] not in self.connections and not (
@@ -480,7 +503,7 @@
             await self.timer.sleep(delay_s * (0.5 + self.rng.random()))
 
     async def _dial(self, url: str, name: str) -> bool:
-        """Serve one connection until it ends; False if it never joined."""
+        """Connect and serve until closed; False if the handshake failed."""
         try:
             websocket = await client.connect(
                 url,
@@ -488,105 +511,113 @@
                 max_queue=2,
                 compression=None,
                 proxy=None,
-                open_timeout=const.JOIN_VALID_S,
+                open_timeout=const.JOIN_TIMEOUT_S,
                 ping_interval=None,
-                close_timeout=const.CLOSE_S,
+                close_timeout=const.CLOSE_TIMEOUT_S,
             )
         except (*_TRANSPORT_ERRORS, ValueError) as error:
-            _LOG.debug("Peer %s not reached: %s", url, error)
+            _LOG.debug("Could not connect to peer %s: %s", url, error)
             return False
         try:
             with self.handshake.join_deadline(websocket):
-                host = await self._greet(websocket, url=url, name=name)
+                host = await self._join(websocket, url=url, name=name)
             if host is None:
                 return True
-            return await self._serve(websocket, host, dialled=True)
-        except io_handshake.TurnedAwayError as error:
-            await self._turn_away(websocket, error.refusal, url)
+            return await self._run_connection(websocket, host, dialled=True)
+        except io_handshake.HandshakeError as error:
+            await self._refuse_connection(websocket, error.refusal, url)
         except exceptions.ConnectionClosed as closed:
-            _LOG.warning("Peer %s ended the handshake: %s", url, closed)
+            _LOG.warning(
+                "Peer %s closed the connection during the handshake: %s",
+                url,
+                closed,
+            )
             if closed.rcvd is not None and closed.rcvd.reason == _DUPLICATE:
                 return True
-            self._note_superseded(closed)
+            self._check_superseded(closed)
         finally:
             await websocket.close()
         return False
 
-    async def _greet(
+    async def _join(
         self, websocket: ws_connection.Connection, *, url: str, name: str
     ) -> core.EntryHost | None:
-        """Join as the client; None where the pair is connected already."""
+        """Run the handshake as the client; None if already connected."""
         challenge = await io_handshake.receive(websocket, model.Challenge)
         if url in self.seeds:
             self.seeds[url] = challenge.host
         if (
             challenge.host == self.host.name
             or challenge.host in self.connections
-            or challenge.host in self._greeting
+            or challenge.host in self._handshakes_with
         ):
             return None
         if name and challenge.host != name:
-            raise io_handshake.TurnedAwayError(
+            raise io_handshake.HandshakeError(
                 result_codes.Refusal(
                     _Code.PEER_UNAUTHENTICATED,
-                    f"dialled {name}, reached {challenge.host}",
+                    f"dialled {name}, but {challenge.host} answered",
                 )
             )
         protocol = min(const.PROTOCOL_MAX, challenge.protocol_max)
         if protocol < max(const.PROTOCOL_MIN, challenge.protocol_min):
-            raise io_handshake.TurnedAwayError(
+            raise io_handshake.HandshakeError(
                 io_handshake.version_refusal(challenge.protocol_max)
             )
-        self._greeting.add(challenge.host)
+        self._handshakes_with.add(challenge.host)
         try:
-            return await self.handshake.prove(websocket, challenge, protocol)
+            return await self.handshake.join_as_client(
+                websocket, challenge, protocol
+            )
         finally:
-            self._greeting.discard(challenge.host)
+            self._handshakes_with.discard(challenge.host)
 
     # Accepting.
 
     async def _accept(self, websocket: server.ServerConnection) -> None:
-        where = str(websocket.remote_address)
-        if self._unjoined >= const.MAX_UNJOINED_CONNECTIONS:
+        address = str(websocket.remote_address)
+        if self._pending_handshakes >= const.MAX_PENDING_HANDSHAKES:
             await websocket.close(1013, "too many handshakes")
             return
-        self._unjoined += 1
+        self._pending_handshakes += 1
         try:
             with self.handshake.join_deadline(websocket):
-                host = await self.handshake.admit(websocket)
-        except io_handshake.TurnedAwayError as error:
-            await self._turn_away(websocket, error.refusal, where)
+                host = await self.handshake.join_as_server(websocket)
+        except io_handshake.HandshakeError as error:
+            await self._refuse_connection(websocket, error.refusal, address)
             return
         except exceptions.ConnectionClosed:
             return
         finally:
-            self._unjoined -= 1
-        await self._serve(websocket, host, dialled=False)
+            self._pending_handshakes -= 1
+        await self._run_connection(websocket, host, dialled=False)
 
-    async def _turn_away(
+    async def _refuse_connection(
         self,
         websocket: ws_connection.Connection,
         refusal: result_codes.Refusal,
-        where: str,
+        address: str,
     ) -> None:
-        _LOG.warning("Peer %s turned away: %s", where, refusal.detail)
-        self._count("Hello", refusal.code.name.lower())
-        # Result codes from 4000 are private websocket close codes too.
+        _LOG.warning(
+            "Refusing the connection with peer %s: %s", address, refusal.detail
+        )
+        self._count_message("Hello", refusal.code.name.lower())
+        # Result codes from 4000 are also valid private websocket close codes.
         await websocket.close(int(refusal.code), refusal.detail[:100])
 
-    # Joined connections.
+    # Authenticated connections.
 
-    async def _serve(
+    async def _run_connection(
         self,
         websocket: ws_connection.Connection,
         host: core.EntryHost,
         *,
         dialled: bool,
     ) -> bool:
-        """Run a joined connection until it ends; False if not accepted."""
+        """Run an authenticated connection; False if it is not accepted."""
         now = self.timer.monotonic()
-        if not self.membership.joined(host, now=now):
-            await self._turn_away(
+        if not self.membership.record_handshake(host, now=now):
+            await self._refuse_connection(
                 websocket,
                 result_codes.Refusal(
                     _Code.PEER_UNAUTHENTICATED,
@@ -601,44 +632,49 @@
         if not self._register(connection):
             await websocket.close(1000, _DUPLICATE)
             return True
-        writer = self._spawn(connection.write())
+        writer = self._spawn(connection.send_queued())
         try:
             await self._read(connection)
         except exceptions.ConnectionClosed as closed:
-            self._note_superseded(closed)
+            self._check_superseded(closed)
         finally:
             writer.cancel()
             self._unregister(connection)
             await websocket.close()
         return True
 
-    def _note_superseded(self, closed: exceptions.ConnectionClosed) -> None:
+    def _check_superseded(self, closed: exceptions.ConnectionClosed) -> None:
         if closed.rcvd is None or closed.rcvd.reason != _SUPERSEDED:
             return
-        _LOG.error("A later start has taken over the name %s", self.host.name)
+        _LOG.error(
+            "A process started later uses the host name %s", self.host.name
+        )
         for callback in self.on_superseded:
             callback()
 
     def _register(self, connection: io_connection.PeerConnection) -> bool:
-        """Take the connection as the pair's only one, unless it loses.
+        """Register the connection; False if an existing one is kept.
 
-        Both ends keep the one that the smaller name dialled; of two that
-        the same host dialled, the newer one, whose handshake is fresh.
+        If two hosts dialled each other, both keep the connection dialled by
+        the host with the smaller name. Of two connections dialled by the same
+        host, the newer one is kept, since its handshake is more recent.
         """
         name = connection.host.name
         old = self.connections.get(name)
         if old is not None:
-            same = old.host.incarnation == connection.host.incarnation
-            if same and old.dialled != connection.dialled:
-                keeper = self.host.name < name
-                if connection.dialled is not keeper:
+            same_incarnation = (
+                old.host.incarnation == connection.host.incarnation
+            )
+            if same_incarnation and old.dialled != connection.dialled:
+                keep_dialled = self.host.name < name
+                if connection.dialled is not keep_dialled:
                     return False
-            self._drop(old, 1000, _DUPLICATE)
+            self._close_connection(old, 1000, _DUPLICATE)
         self.connections[name] = connection
-        if event := self._connected.pop(name, None):
+        if event := self._connected_events.pop(name, None):
             event.set()
         connection.put_heartbeat(self.heartbeat())
-        self._announce(connection)
+        self._announce_hosts(connection)
         self._update_dialers()
         self._members_changed()
         return True
@@ -650,37 +686,42 @@
         del self.connections[name]
         for pending in self._pending.values():
             if pending.host == name:
-                pending.finish(None)
+                pending.resolve(None)
         self._members_changed()
 
-    def _drop(
+    def _close_connection(
         self, connection: io_connection.PeerConnection, code: int, reason: str
     ) -> None:
         self._spawn(connection.websocket.close(code, reason))
 
-    def _announce(self, connection: io_connection.PeerConnection) -> None:
-        """Tell peers of each other, so that one setting joins a host."""
-        if not self._mesh_is_full():
+    def _announce_hosts(
+        self, connection: io_connection.PeerConnection
+    ) -> None:
+        """Report the new peer and the others to each other.
+
+        One seed is therefore enough to join the mesh.
+        """
+        if not self._is_full_mesh():
             return
         hosts = tuple(
             other.host
             for other in self.connections.values()
             if other is not connection
         )
-        self._put([connection], model.KnownHosts(hosts))
+        self._send_frame([connection], model.KnownHosts(hosts))
         others = [
             other
             for other in self.connections.values()
             if other is not connection
         ]
-        self._put(others, model.KnownHosts((connection.host,)))
+        self._send_frame(others, model.KnownHosts((connection.host,)))
 
-    def _forget_views(self) -> None:
-        self._live_peers = (float("-inf"), ())
+    def _invalidate_live_peers(self) -> None:
+        self._live_peers_cache = (float("-inf"), ())
 
     def _members_changed(self) -> None:
-        self._forget_views()
-        for callback in self.on_members:
+        self._invalidate_live_peers()
+        for callback in self.on_members_changed:
             callback()
 
     async def _read(self, connection: io_connection.PeerConnection) -> None:
@@ -688,14 +729,17 @@
             connection.received_at_s = self.timer.monotonic()
             if isinstance(data, str):
                 refusal = result_codes.Refusal(
-                    _Code.PEER_MESSAGE_INVALID, "text frame"
+                    _Code.PEER_MESSAGE_INVALID, "received a text frame"
                 )
             else:
                 match connection.decoder.decode(data):
                     case Success(codec.UnknownType(name)):
-                        # Label values from peers would be unbounded.
-                        _LOG.info("Unknown peer message type %s", name)
-                        self._count("unknown", "ignored")
+                        # Not counted by name, since peers could send any
+                        # number of names and so of label values.
+                        _LOG.info(
+                            "Ignoring peer message of unknown type %s", name
+                        )
+                        self._count_message("unknown", "ignored")
                         continue
                     case Success(model.Frame() as frame):
                         refused = self._handle(connection, frame)
@@ -704,9 +748,9 @@
                         refusal = refused
                     case Failure(result_codes.Refusal() as invalid):
                         refusal = invalid
-            self._count("invalid", refusal.code.name.lower())
+            self._count_message("invalid", refusal.code.name.lower())
             _LOG.warning(
-                "Connection to %s closed: %s",
+                "Closing the connection to peer %s: %s",
                 connection.host.name,
                 refusal.detail,
             )
@@ -718,34 +762,37 @@
     def _handle(
         self, connection: io_connection.PeerConnection, frame: model.Frame
     ) -> result_codes.Refusal | None:
-        """Act on a frame; a refusal closes the connection."""
+        """Process a frame; a returned refusal closes the connection."""
         message = frame.message
         name = connection.host.name
         if isinstance(message, _HANDSHAKE):
             return result_codes.Refusal(
-                _Code.PEER_MESSAGE_INVALID, "handshake after joining"
+                _Code.PEER_MESSAGE_INVALID,
+                "handshake message after the handshake",
             )
-        self._count(type(message).__name__, "ok")
+        self._count_message(type(message).__name__, "ok")
         if frame.reply_to is not None:
             pending = self._pending.get(frame.reply_to)
-            # Ids are per process, so a peer can only answer its own.
+            # Message ids are shared by all peers: accept a reply only from the
+            # peer that was asked.
             if pending is not None and pending.host == name:
-                pending.finish(message)
+                pending.resolve(message)
             return None
         now = self.timer.monotonic()
         if isinstance(message, model.Heartbeat):
             if message.host != connection.host:
                 return result_codes.Refusal(
-                    _Code.PEER_MESSAGE_INVALID, "heartbeat of another host"
+                    _Code.PEER_MESSAGE_INVALID,
+                    "heartbeat describes another host",
                 )
             last = self.membership.members[name].heartbeat
             if not self.membership.record_heartbeat(message, now=now):
                 return None
             if last is None or last.state is not message.state:
-                self._forget_views()
+                self._invalidate_live_peers()
         elif isinstance(message, model.KnownHosts):
-            self._learn(message)
-        self._relay_in(name, message)
+            self._add_known_hosts(message)
+        self._pass_to_relay(name, message)
         self._dispatch(name, frame)
         return None
 
@@ -753,15 +800,16 @@
         handler = self._handlers.get(type(frame.message))
         if handler is None:
             return
-        if self._handling >= const.MAX_REQUESTS_HANDLED:
-            self._count(type(frame.message).__name__, "dropped")
+        if self._running_handlers >= const.MAX_RUNNING_HANDLERS:
+            self._count_message(type(frame.message).__name__, "dropped")
             return
-        # Counted here, since a burst arrives before the tasks run.
-        self._handling += 1
+        # Incremented here and not in the task, since a burst of messages can
+        # arrive before the tasks run.
+        self._running_handlers += 1
         self._spawn(self._run_handler(handler, name, frame))
 
-    def _learn(self, message: model.KnownHosts) -> None:
-        if not self._mesh_is_full():
+    def _add_known_hosts(self, message: model.KnownHosts) -> None:
+        if not self._is_full_mesh():
             return
         now = self.timer.monotonic()
         for host in message.hosts:
@@ -774,11 +822,11 @@
         try:
             reply = await handler(name, frame.message)
         except Exception:
-            _LOG.exception("Handler of a message from %s failed", name)
-            self._count(type(frame.message).__name__, "handler_failed")
+            _LOG.exception("Error handling a message from peer %s", name)
+            self._count_message(type(frame.message).__name__, "handler_failed")
             return
         finally:
-            self._handling -= 1
+            self._running_handlers -= 1
         # The peer may have reconnected while the handler ran.
         connection = self.connections.get(name)
         if reply is None or frame.message_id is None or connection is None:
@@ -786,24 +834,24 @@
         try:
             connection.put(codec.encode(reply, reply_to=frame.message_id))
         except ValueError as error:
-            _LOG.error("Reply to %s not sent: %s", name, error)
-            self._count(type(reply).__name__, "too_large")
+            _LOG.error("Could not send the reply to peer %s: %s", name, error)
+            self._count_message(type(reply).__name__, "too_large")
 
     def _spawn(self, coroutine: Any) -> "asyncio.Task[Any]":
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._log_task_failure)
         return task
 
-    def _finished(self, task: "asyncio.Task[Any]") -> None:
+    def _log_task_failure(self, task: "asyncio.Task[Any]") -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
         error = task.exception()
         if not isinstance(error, _TRANSPORT_ERRORS):
-            _LOG.error("Peer task failed", exc_info=error)
+            _LOG.error("Unexpected error in a peer task", exc_info=error)
 
-    def _count(self, kind: str, outcome: str) -> None:
+    def _count_message(self, kind: str, outcome: str) -> None:
         if self.metrics is not None:
             self.metrics.count_peer_message(kind, outcome)
 
--- a/src/samphirelug/components/peers/membership.py
+++ b/src/samphirelug/components/peers/membership.py
@@ -1,4 +1,4 @@
-"""Track the known hosts, their states and incarnations; pure."""
+"""Track known hosts, their states and incarnations; no input or output."""
 
 from collections.abc import Iterable
 from collections import deque
@@ -11,69 +11,81 @@
 
 
 class Member:
-    """Hold what is known of one other host."""
+    """Store what is known of one other host."""
 
     def __init__(self, *, host: core.EntryHost, now: float) -> None:
         self.host = host
         self.heartbeat: model.Heartbeat | None = None
         self.heard_at_s: float | None = None
-        # Last time that any source named the host.
-        self.named_at_s = now
+        # When the host was added, last listed or last heard from directly.
+        self.renewed_at_s = now
+        # Whether the platform's host list contains the host.
         self.listed = False
         self.unreachable_until_s = 0.0
-        self.retired: deque[str] = deque(maxlen=const.RETIRED_INCARNATIONS)
+        self.superseded: deque[str] = deque(
+            maxlen=const.MAX_SUPERSEDED_INCARNATIONS
+        )
 
     def state(self, now: float) -> model.MemberState:
-        """Return the state, as of now on this host's clock."""
-        heard = self.heard_at_s
-        if heard is not None and now - heard <= shared_const.PEER_TIMEOUT_S:
-            beat = self.heartbeat
-            if beat and beat.state is core.EntryHostState.LEAVING:
+        """Return the state at a time on this host's clock."""
+        heard_at_s = self.heard_at_s
+        if (
+            heard_at_s is not None
+            and now - heard_at_s <= shared_const.PEER_TIMEOUT_S
+        ):
+            heartbeat = self.heartbeat
+            if heartbeat and heartbeat.state is core.EntryHostState.LEAVING:
                 return model.MemberState.LEAVING
             return model.MemberState.LIVE
         if now < self.unreachable_until_s:
-            return model.MemberState.SILENT
-        if heard is not None and now - heard <= const.SILENT_RETRY_S:
-            return model.MemberState.SILENT
-        return model.MemberState.LISTED
+            return model.MemberState.UNREACHABLE
+        if (
+            heard_at_s is not None
+            and now - heard_at_s <= const.UNREACHABLE_RETRY_S
+        ):
+            return model.MemberState.UNREACHABLE
+        return model.MemberState.UNCONFIRMED
 
 
 class Membership:
     """Merge host list, settings and heartbeats into one set of hosts.
 
-    Incarnations have no order of their own. A direct heartbeat or handshake
-    proves which one is running; the one it replaces is retired and never
-    accepted again, so a host's incarnations only move forward.
+    Incarnation identifiers are not ordered. A direct heartbeat or handshake
+    shows which one is running; the previous one is superseded and not
+    accepted again, so a host never goes back to an older incarnation.
     """
 
     def __init__(self, *, own: core.EntryHost) -> None:
         self.own = own
         self.members: dict[str, Member] = {}
-        # Names heard lately; of thousands of hosts few are connected.
-        self._heard: set[str] = set()
-        # Names heard or dialled in vain. All others are listed, so that a
-        # look at these few tells which hosts are missing.
-        self._touched: set[str] = set()
-        # Grows when a host is added, dropped or moves to another zone.
+        # Names of recently heard hosts, kept because only a few of thousands
+        # of hosts are connected.
+        self._live_names: set[str] = set()
+        # Names of hosts that were heard or could not be dialled. All others
+        # are UNCONFIRMED, so only these few can be unavailable.
+        self._contacted: set[str] = set()
+        # Incremented when a host is added, removed or moves to another zone.
         self.version = 0
 
     def set_listed(
         self, hosts: Iterable[core.EntryHost], *, now: float
     ) -> None:
-        """Replace the set of hosts that the host list names."""
+        """Replace the set of hosts in the host list."""
         listed = set()
         for host in hosts:
             if self.add(host, now=now):
                 listed.add(host.name)
-                self.members[host.name].named_at_s = now
+                self.members[host.name].renewed_at_s = now
         for name, member in self.members.items():
             member.listed = name in listed
 
     def add(self, host: core.EntryHost, *, now: float) -> bool:
-        """Note a host that a list or a peer named, without proof of life.
+        """Add a host reported by the host list or a peer.
 
-        Hearsay gives no incarnation and does not keep a host from being
-        forgotten, or peers would remind each other of dead hosts for ever.
+        Such a report does not show that the host runs: it sets no
+        incarnation and does not delay the host's removal, otherwise peers
+        would keep reporting dead hosts to each other for ever. Returns False
+        if the host is this one or there are too many hosts.
         """
         if host.name == self.own.name:
             return False
@@ -86,8 +98,8 @@
             )
             self.version += 1
         elif host.peer_url and member.state(now) in (
-            model.MemberState.LISTED,
-            model.MemberState.SILENT,
+            model.MemberState.UNCONFIRMED,
+            model.MemberState.UNREACHABLE,
         ):
             if member.host.zone != host.zone:
                 self.version += 1
@@ -96,34 +108,37 @@
             )
         return True
 
-    def joined(self, host: core.EntryHost, *, now: float) -> bool:
-        """Note a handshake; False where the incarnation is superseded."""
+    def record_handshake(self, host: core.EntryHost, *, now: float) -> bool:
+        """Record a handshake; return False if it is not accepted.
+
+        A superseded incarnation and the name of this host are not accepted.
+        """
         if not self.add(host, now=now):
             return False
         member = self.members[host.name]
-        if host.incarnation in member.retired:
+        if host.incarnation in member.superseded:
             return False
         last = member.host.incarnation
         if last and last != host.incarnation:
-            member.retired.append(last)
+            member.superseded.append(last)
             member.heartbeat = None
             member.heard_at_s = None
         if member.host.zone != host.zone:
             self.version += 1
         member.host = host
-        member.named_at_s = now
+        member.renewed_at_s = now
         member.unreachable_until_s = 0.0
         return True
 
     def record_heartbeat(
         self, heartbeat: model.Heartbeat, *, now: float
     ) -> bool:
-        """Note a direct heartbeat; False if it is old or not accepted."""
+        """Record a direct heartbeat; False if it is old or not accepted."""
         member = self.members.get(heartbeat.host.name)
         if member is None or (
             member.host.incarnation != heartbeat.host.incarnation
         ):
-            if not self.joined(heartbeat.host, now=now):
+            if not self.record_handshake(heartbeat.host, now=now):
                 return False
             member = self.members[heartbeat.host.name]
         last = member.heartbeat
@@ -134,34 +149,34 @@
         member.host = heartbeat.host
         member.heartbeat = heartbeat
         member.heard_at_s = now
-        self._heard.add(heartbeat.host.name)
-        self._touched.add(heartbeat.host.name)
-        member.named_at_s = now
+        self._live_names.add(heartbeat.host.name)
+        self._contacted.add(heartbeat.host.name)
+        member.renewed_at_s = now
         member.unreachable_until_s = 0.0
         return True
 
-    def unreachable(self, name: str, *, now: float) -> None:
-        """Note that dialling a host failed."""
+    def record_dial_failure(self, name: str, *, now: float) -> None:
+        """Record a failed attempt to dial a host."""
         member = self.members.get(name)
         if member is not None:
-            member.unreachable_until_s = now + const.SILENT_RETRY_S
-            self._touched.add(name)
+            member.unreachable_until_s = now + const.UNREACHABLE_RETRY_S
+            self._contacted.add(name)
 
-    def forget(self, *, now: float) -> tuple[str, ...]:
-        """Drop hosts that are neither listed nor named for long."""
-        gone = tuple(
+    def remove_expired(self, *, now: float) -> tuple[str, ...]:
+        """Remove unlisted hosts not heard from for MEMBER_EXPIRE_S."""
+        expired = tuple(
             name
             for name, member in self.members.items()
             if not member.listed
-            and now - member.named_at_s > const.FORGET_AFTER_S
+            and now - member.renewed_at_s > const.MEMBER_EXPIRE_S
         )
-        for name in gone:
+        for name in expired:
             del self.members[name]
             self.version += 1
-        return gone
+        return expired
 
     def state_of(self, name: str, *, now: float) -> model.MemberState | None:
-        """Return a host's state; None where the host is unknown."""
+        """Return a host's state, or None if the host is unknown."""
         member = self.members.get(name)
         return None if member is None else member.state(now)
 
@@ -169,17 +184,17 @@
         """Return the members heard within PEER_TIMEOUT_S."""
         live = tuple(
             member
-            for name in self._heard
+            for name in self._live_names
             if (member := self.members.get(name)) is not None
             and member.heard_at_s is not None
             and now - member.heard_at_s <= shared_const.PEER_TIMEOUT_S
         )
-        if len(live) < len(self._heard):
-            self._heard = {member.host.name for member in live}
+        if len(live) < len(self._live_names):
+            self._live_names = {member.host.name for member in live}
         return live
 
     def candidates(self, *, now: float) -> tuple[topology.Node, ...]:
-        """Return the hosts that may be alive, for the topology."""
+        """Return the live and unconfirmed hosts, for the topology."""
         unavailable = self.unavailable(now=now)
         return tuple(
             topology.Node(name, member.host.zone)
@@ -188,20 +203,20 @@
         )
 
     def unavailable(self, *, now: float) -> frozenset[str]:
-        """Return the hosts that are silent or leaving.
+        """Return the hosts that are unreachable or leaving.
 
-        The candidates change only with these and with the version.
+        The candidates change only when these or the version change.
         """
-        self._touched &= self.members.keys()
+        self._contacted &= self.members.keys()
         return frozenset(
             name
-            for name in self._touched
+            for name in self._contacted
             if self.members[name].state(now)
-            in (model.MemberState.SILENT, model.MemberState.LEAVING)
+            in (model.MemberState.UNREACHABLE, model.MemberState.LEAVING)
         )
 
     def zone_members(self, *, now: float) -> frozenset[str]:
-        """Return the hosts of the own zone that may be alive."""
+        """Return the live and unconfirmed hosts of the own zone."""
         zone = self.own.zone.name
         return frozenset(
             node.name
--- a/src/samphirelug/components/peers/mesh.py
+++ b/src/samphirelug/components/peers/mesh.py
@@ -1,4 +1,4 @@
-"""Define the interface through which parts talk to other entry hosts."""
+"""Define the interface for messages to and from other entry hosts."""
 
 import abc
 from collections.abc import Awaitable
@@ -9,29 +9,30 @@
 from samphirelug.components.peers import model
 from samphirelug import result_codes
 
-# Takes the sender's name and the message; None sends no answer.
+# Called with the sender's name and the message. Returns the reply, or None to
+# send none.
 Handler = Callable[[str, model.Message], Awaitable[model.Message | None]]
 
 
 class PeerMesh(abc.ABC):
-    """Send messages to peers and give what they reported."""
+    """Exchange messages with peers and provide their latest heartbeats."""
 
     @abc.abstractmethod
     def live_peers(self) -> tuple[model.PeerView, ...]:
-        """Return the peers heard within PEER_TIMEOUT_S."""
+        """Return the peers whose heartbeat is at most PEER_TIMEOUT_S old."""
 
     @abc.abstractmethod
     async def request(
         self, host: str, message: model.Message, *, timeout_s: float
     ) -> Result[model.Message, result_codes.Refusal]:
-        """Send a message and return its answer.
+        """Send a message and return its reply.
 
-        Fails with PEER_UNREACHABLE when no answer came in time.
+        Fails with PEER_UNREACHABLE if no reply arrives within timeout_s.
         """
 
     @abc.abstractmethod
     def send(self, host: str, message: model.Message) -> None:
-        """Send a message without an answer, if the peer is connected."""
+        """Send a message that needs no reply, if the peer is connected."""
 
     @abc.abstractmethod
     def broadcast(self, message: model.Message) -> None:
@@ -39,4 +40,4 @@
 
     @abc.abstractmethod
     def set_handler(self, kind: type, handler: Handler) -> None:
-        """Call the handler for each received message of the type."""
+        """Register the handler of received messages of a type."""
--- a/src/samphirelug/components/peers/model.py
+++ b/src/samphirelug/components/peers/model.py
@@ -13,13 +13,13 @@
 from samphirelug.components.quota import model as quota_model
 from samphirelug import core
 
-# Not a number would break every comparison of waits.
+# Rejects NaN, which would make every comparison of wait times false.
 WaitSeconds = Annotated[float, pydantic.Field(ge=0.0)]
-Sequence = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
+NonNegativeInt = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
 
 
 class Challenge(NamedTuple):
-    """Open the server's side of a handshake on a new connection."""
+    """Start the handshake on a new connection; sent by the server."""
 
     protocol_min: int
     protocol_max: int
@@ -28,7 +28,7 @@
 
 
 class Hello(NamedTuple):
-    """Answer a Challenge with a join token and a challenge in return."""
+    """Answer a Challenge with a join token and challenge the server."""
 
     protocol: int
     host: core.EntryHost
@@ -37,7 +37,7 @@
 
 
 class Welcome(NamedTuple):
-    """Accept a Hello and prove that the server knows the secret."""
+    """Accept a Hello and answer its challenge with a join token."""
 
     protocol: int
     host: core.EntryHost
@@ -45,13 +45,13 @@
 
 
 class KnownHosts(NamedTuple):
-    """Tell a peer of other hosts; sent only while the mesh is full."""
+    """List other hosts to a peer; sent only in a full mesh."""
 
     hosts: tuple[core.EntryHost, ...]
 
 
 class RegionHeadroom(NamedTuple):
-    """Report units free and held for one service in one region."""
+    """Report the free and held units of a service in a region."""
 
     region: str
     service: str
@@ -63,10 +63,11 @@
     """Report that a backend server is leaving or live again."""
 
     server: str
-    # The server's own name for its start; empty where unknown.
+    # Identifier that the server gave to its current run; empty if unknown.
     server_incarnation: str
     leaving: bool
-    # Host list revision behind the sighting, 0 for an own observation.
+    # Revision of the host list that reported the state; 0 if the entry host
+    # observed it itself.
     list_revision: int
 
 
@@ -75,19 +76,19 @@
 
     host: core.EntryHost
     state: core.EntryHostState
-    # Milliseconds since this incarnation started, on its own clock.
-    clock_ms: Sequence
+    # Milliseconds since the start of the incarnation, on its own clock.
+    clock_ms: NonNegativeInt
     catalogue_revision: int
     headroom: tuple[RegionHeadroom, ...]
-    # Requests queued, by Rank value.
+    # Number of queued requests, by Rank value.
     queued: tuple[int, int, int]
-    # Seconds until a new request of the rank would find room, by Rank value.
+    # Expected wait of a new request until capacity is free, by Rank value.
     wait_s: tuple[WaitSeconds, WaitSeconds, WaitSeconds]
     sightings: tuple[Sighting, ...]
 
 
 class CatalogueRequest(NamedTuple):
-    """Ask for all catalogue objects after a revision."""
+    """Request all catalogue objects after a revision."""
 
     since: int
 
@@ -96,32 +97,33 @@
     """Answer a CatalogueRequest."""
 
     delta: catalogue_model.CatalogueDelta
-    # The sender has more; an entry changed again since may lack its version
-    # up to delta.revision, so that is only where to ask from next.
+    # Set if the sender has further objects. An entry that changed again later
+    # may be missing its version up to delta.revision, so that revision is
+    # only the start of the next request.
     partial: bool = False
     rejected: tuple[catalogue_model.Rejection, ...] = ()
 
 
 class GrantRequest(NamedTuple):
-    """Ask for bundles of units to dispatch work into a region."""
+    """Request bundles of units for dispatching work to a region."""
 
     work: str
     region: str
     bundles_wanted: int
-    # Region of the entry host that asks.
+    # Region of the requesting entry host.
     host_region: str
     home_region: str
     body_bytes: int
 
 
 class UnitRequest(NamedTuple):
-    """Ask for plain units, such as bytes of a link."""
+    """Request units that are not bundled, such as bytes of a link."""
 
     units: tuple[quota_model.UnitAmount, ...]
 
 
 class Grant(NamedTuple):
-    """Lend bundles; empty where nothing can be spared."""
+    """Lend bundles; empty if none are available."""
 
     loan_id: str
     bundles: tuple[quota_model.Bundle, ...]
@@ -129,7 +131,7 @@
 
 
 class UnitGrant(NamedTuple):
-    """Lend plain units; empty where nothing can be spared."""
+    """Lend units that are not bundled; empty if none are available."""
 
     loan_id: str
     units: tuple[quota_model.UnitAmount, ...]
@@ -137,103 +139,105 @@
 
 
 class GrantReturn(NamedTuple):
-    """Give back a bundle, or all plain units with bundle number 0."""
+    """Return a bundle, or all units of a UnitGrant with bundle number 0."""
 
     loan_id: str
     bundle_number: int
 
 
 class OutcomeRecord(NamedTuple):
-    """Keep the outcome of one run token."""
+    """Describe the outcome of one run token."""
 
     token_id: str
-    # A ResultCode; OK comes with the answer.
+    # Value of a ResultCode. The answer is set if it is OK.
     code: int
     detail: str
     answer: core.Answer | None
     # Milliseconds left until the token expires.
     ttl_ms: int
-    # Identifies the request that used the token; empty where unknown.
+    # Identifies the request that used the token; empty if unknown.
     digest: bytes = b""
 
 
 class OutcomeQuery(NamedTuple):
-    """Ask the incarnation named in a run token what became of it."""
+    """Request the outcome of a run token from its incarnation."""
 
     token: str
 
 
 class OutcomeReply(NamedTuple):
-    """Answer an OutcomeQuery; the queried token will never run later."""
+    """Answer an OutcomeQuery; the token cannot be run after this."""
 
     record: OutcomeRecord
 
 
 class OutcomeHandover(NamedTuple):
-    """Pass outcomes of a stopping incarnation to a peer."""
+    """Transfer the outcomes of a stopping incarnation to a peer."""
 
     incarnation: str
     records: tuple[OutcomeRecord, ...]
-    # Set on the last message: no other token of the incarnation has run.
+    # Set on the last message: no further token of the incarnation was run.
     complete: bool
     ttl_ms: int
-    # Clock of the incarnation when its last token could start. Without it,
-    # as in messages of earlier releases, the mark proves nothing.
-    clock_ms: Sequence | None = None
+    # Clock of the incarnation when its last token could start. None in
+    # messages of earlier releases, in which case complete proves nothing.
+    clock_ms: NonNegativeInt | None = None
 
 
 class Acknowledgement(NamedTuple):
-    """Confirm a message that needs no other answer."""
+    """Acknowledge a message that needs no other reply."""
 
 
 class ZoneSummary(NamedTuple):
-    """Report a zone beyond its borders; built by its first watcher."""
+    """Describe a zone to other zones; built by its primary watcher."""
 
     zone: core.AvailabilityZone
-    # Grows with each summary of the zone, whoever builds it.
-    epoch: Sequence
-    # Lowest position of the zone's serving hosts.
-    revision: Sequence
-    # Bounded to the first names in order; lagging_count counts all.
+    # Incremented with each summary of the zone, whichever host builds it.
+    epoch: NonNegativeInt
+    # Lowest catalogue position of the zone's serving hosts.
+    revision: NonNegativeInt
+    # The first names in order, up to SUMMARY_MAX_LAGGING; lagging_count
+    # counts all.
     lagging: tuple[str, ...]
     lagging_count: int
     serving_count: int
-    # A few serving hosts, without what changes from moment to moment.
+    # A few serving hosts, without their frequently changing fields.
     entry_hosts: tuple[Heartbeat, ...]
 
 
 class ZoneEpoch(NamedTuple):
-    """Name a zone by its short id, and the summary that was current."""
+    """Identify a zone by relay.zone_id, and the epoch of its summary."""
 
-    zone_id: Sequence
-    epoch: Sequence
+    zone_id: NonNegativeInt
+    epoch: NonNegativeInt
 
 
 class ZonePositions(NamedTuple):
-    """Report that the lowest position of zones has risen to a revision."""
+    """Report the zones whose lowest position has risen to a revision."""
 
-    revision: Sequence
+    revision: NonNegativeInt
     zones: tuple[ZoneEpoch, ...]
 
 
 class RelayedSighting(NamedTuple):
-    """Carry a sighting with the identity that stops loops."""
+    """Contain a sighting and the identity that prevents relay loops."""
 
-    # Name and incarnation of the host that sent it first.
+    # Name and incarnation of the host that originated the sighting.
     origin: str
-    sequence: Sequence
+    sequence: NonNegativeInt
     sighting: Sighting
 
 
 class Relayed(NamedTuple):
-    """Carry what a host passes on to one peer in one tick."""
+    """Contain what a host relays to one peer in one tick."""
 
     sightings: tuple[RelayedSighting, ...]
     positions: tuple[ZonePositions, ...]
     summaries: tuple[ZoneSummary, ...]
-    # Lowest and highest position that the sender knows of in the fleet.
-    lowest_revision: Sequence
-    highest_revision: Sequence
+    # Lowest and highest catalogue position in the fleet that the sender
+    # knows; a lowest of 0 means unknown.
+    lowest_revision: NonNegativeInt
+    highest_revision: NonNegativeInt
 
 
 Message = (
@@ -259,29 +263,30 @@
 
 
 class PeerView(NamedTuple):
-    """Hold what is known of a peer from its last heartbeat."""
+    """Describe a peer by its last heartbeat."""
 
     heartbeat: Heartbeat
-    # On this host's clock.
+    # Time of the last heartbeat on this host's monotonic clock.
     heard_at_s: float
     connected: bool
 
 
 class MemberState(enum.StrEnum):
-    """Name what a host knows of another host."""
+    """Define the states of a host as seen by another host."""
 
-    # Named by the host list, a setting or a peer, and not heard yet.
-    LISTED = "listed"
+    # Known from the host list, a setting or a peer, and not heard from yet or
+    # not for UNREACHABLE_RETRY_S.
+    UNCONFIRMED = "unconfirmed"
     LIVE = "live"
-    # Heard before or dialled in vain, and not heard since.
-    SILENT = "silent"
+    # Could not be dialled, or no heartbeat for PEER_TIMEOUT_S.
+    UNREACHABLE = "unreachable"
     LEAVING = "leaving"
 
 
 class Frame(NamedTuple):
-    """Hold a message with the ids that pair requests and replies."""
+    """Contain a message and the ids that match replies to requests."""
 
     message: Message
-    # Set on a message that wants a reply.
+    # Set on a message that expects a reply.
     message_id: int | None = None
     reply_to: int | None = None
--- a/src/samphirelug/components/peers/send_queue.py
+++ b/src/samphirelug/components/peers/send_queue.py
@@ -1,4 +1,4 @@
-"""Queue the frames for one peer, bounded; no input or output."""
+"""Define the bounded send queue of one peer; no input or output."""
 
 from collections import deque
 
@@ -7,12 +7,12 @@
 
 
 class SendQueue:
-    """Hold encoded frames and the latest heartbeat for one peer.
+    """Queue encoded frames and the latest heartbeat for one peer.
 
-    Heartbeats supersede each other, so only the newest one waits, in a place
-    of its own. It is encoded when it is sent, since a sparse heartbeat is
-    relative to the one sent before. A full queue drops its oldest frame:
-    requests end by their time-out and sightings are repeated in heartbeats.
+    A heartbeat replaces earlier ones, so only the latest is kept, separate
+    from the frames. It is encoded when it is sent, since a sparse heartbeat
+    is relative to the previous one. A full queue drops its oldest frames:
+    lost requests time out and sightings are repeated in heartbeats.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self.dropped_heartbeats = 0
 
     def put(self, frame: bytes) -> None:
-        """Add a frame; drop the oldest ones where it does not fit."""
+        """Add a frame; drop the oldest ones if the queue is full."""
         self.frames.append(frame)
         self.bytes += len(frame)
         while (
@@ -34,13 +34,13 @@
             self.dropped_frames += 1
 
     def put_heartbeat(self, heartbeat: model.Heartbeat) -> None:
-        """Set the next heartbeat; it replaces one that still waits."""
+        """Set the next heartbeat; replaces one that was not sent yet."""
         if self.heartbeat is not None:
             self.dropped_heartbeats += 1
         self.heartbeat = heartbeat
 
     def take(self) -> bytes | model.Heartbeat | None:
-        """Return what to send next; the heartbeat goes first."""
+        """Return the next item to send; a heartbeat comes first."""
         if self.heartbeat is not None:
             heartbeat, self.heartbeat = self.heartbeat, None
             return heartbeat
--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -35,7 +35,7 @@
         self.relay = relay.Relay(own=host)
         self.peers: set[str] = set()
         self.watcher = False
-        self.first_watcher = False
+        self.primary_watcher = False
         self.position = 1
         self.sent = self.received = 0
         self.sent_bytes = self.received_bytes = 0
@@ -73,7 +73,7 @@
             self.hosts[host.name] = simulated
             self.zones.setdefault(host.zone.name, []).append(simulated)
         self.full = size <= const.FULL_MESH_MAX_HOSTS
-        self.in_flight: list[tuple[str, relay.Outgoing, int]] = []
+        self.in_flight: list[tuple[str, relay.OutgoingMessage, int]] = []
         self._connect()
 
     def _connect(self) -> None:
@@ -85,18 +85,18 @@
             names = [member.host.name for member in members]
             for rank, name in enumerate(topology.watchers_of(zone, names)):
                 self.hosts[name].watcher = True
-                self.hosts[name].first_watcher = rank == 0
+                self.hosts[name].primary_watcher = rank == 0
         # Hosts that are not watchers only look at their own zone.
         for node in nodes:
             simulated = self.hosts[node.name]
             members = self.zones[node.zone.name]
             if self.full or simulated.watcher:
-                wanted = topology.wanted_peers(node, nodes)
+                peers_to_dial = topology.peers_to_dial(node, nodes)
             else:
-                wanted = frozenset(
+                peers_to_dial = frozenset(
                     member.host.name for member in members if member.watcher
                 )
-            for name in wanted:
+            for name in peers_to_dial:
                 simulated.peers.add(name)
                 self.hosts[name].peers.add(node.name)
         if not self.full:
@@ -108,9 +108,11 @@
             peers = [self.hosts[name] for name in simulated.peers]
             simulated.relay.set_peers(
                 watcher=simulated.watcher,
-                carrier=simulated.first_watcher,
-                carriers=[p.host.name for p in peers if p.first_watcher],
-                others=[p.host.name for p in peers if not p.first_watcher],
+                primary_watcher=simulated.primary_watcher,
+                primary_watchers=[
+                    p.host.name for p in peers if p.primary_watcher
+                ],
+                others=[p.host.name for p in peers if not p.primary_watcher],
             )
 
     def deliver(self, name: str, sightings: Iterable[model.Sighting]) -> None:
@@ -143,7 +145,7 @@
             return
         for name, simulated in self.hosts.items():
             zone: tuple[model.Heartbeat, ...] = ()
-            if simulated.first_watcher:
+            if simulated.primary_watcher:
                 zone = tuple(
                     member.heartbeat(self.now)
                     for member in self.zones[simulated.host.zone.name]
@@ -152,7 +154,7 @@
             for outgoing in simulated.relay.tick(
                 own=simulated.heartbeat(self.now),
                 zone=zone,
-                first_watcher=simulated.first_watcher,
+                build_summary=simulated.primary_watcher,
                 now=self.now,
             ):
                 size = len(codec.encode(outgoing.message)) + FRAME_BYTES
@@ -167,11 +169,11 @@
         """
         known: dict[str, relay.KnownZone] = {}
         for simulated in self.hosts.values():
-            if simulated.first_watcher:
+            if simulated.primary_watcher:
                 name = simulated.host.zone.name
                 zone = [m.heartbeat(self.now) for m in self.zones[name]]
                 simulated.relay.tick(
-                    own=zone[0], zone=zone[1:], first_watcher=True, now=0.0
+                    own=zone[0], zone=zone[1:], build_summary=True, now=0.0
                 )
                 known[name] = simulated.relay.zones[name]
         for simulated in self.hosts.values():
@@ -251,7 +253,7 @@
             fleet.observe(name, model.Sighting(server, "inc", True, 0))
         fleet.step()
         for name, simulated in fleet.hosts.items():
-            lowest = simulated.relay.lowest()
+            lowest = simulated.relay.lowest_revision()
             if lowest in changed_at:
                 in_force.setdefault((name, lowest), fleet.now)
     report(fleet, seconds)
--- a/tests/components/peers/test_auth.py
+++ b/tests/components/peers/test_auth.py
@@ -14,7 +14,7 @@
 
 
 class Pair:
-    """Hold both sides of a handshake on one manual clock."""
+    """Set up both sides of a handshake on one manual clock."""
 
     def __init__(self, *, secret: str = "s" * 32) -> None:
         self.timer = timer.ManualTimerService()
@@ -26,18 +26,18 @@
         )
         self.challenge = self.new_challenge(1)
 
-    def new_challenge(self, seed: int) -> auth.OpenChallenge:
-        """Return a challenge of the server."""
-        return auth.OpenChallenge(timer=self.timer, rng=random.Random(seed))
+    def new_challenge(self, seed: int) -> auth.IssuedChallenge:
+        """Return a challenge issued by the server."""
+        return auth.IssuedChallenge(timer=self.timer, rng=random.Random(seed))
 
     def sign(self, *, audience: str = "eh2", role: str = "client") -> str:
-        """Return the client's token for the challenge."""
+        """Return the client's join token for the challenge."""
         return self.client.sign(
             audience=audience, nonce=self.challenge.nonce, role=role
         )
 
     def accepts(self, token: str) -> bool:
-        """Tell whether the server accepts the token from the client."""
+        """Return whether the server accepts the token from the client."""
         return is_successful(
             self.server.check(
                 token, challenge=self.challenge, claimed=CLIENT, role="client"
@@ -46,7 +46,7 @@
 
 
 def test_a_token_is_accepted_once() -> None:
-    """Guards against a replay on the same connection."""
+    """Guards against replay of a join token on the same connection."""
     pair = Pair()
     token = pair.sign()
     assert pair.accepts(token)
@@ -54,7 +54,7 @@
 
 
 def test_a_token_is_refused_for_another_challenge() -> None:
-    """Guards against a replay on a later connection."""
+    """Guards against replay of a join token on a later connection."""
     pair = Pair()
     token = pair.sign()
     pair.challenge = pair.new_challenge(2)
@@ -62,35 +62,35 @@
 
 
 def test_a_challenge_expires() -> None:
-    """Guards against tokens that are used long after they were asked for."""
+    """Guards against join tokens used after their challenge expired."""
     pair = Pair()
     token = pair.sign()
-    pair.timer.advance(const.JOIN_VALID_S)
+    pair.timer.advance(const.JOIN_TIMEOUT_S)
     assert pair.accepts(token)
-    late = Pair()
-    token = late.sign()
-    late.timer.advance(const.JOIN_VALID_S + 0.001)
-    assert not late.accepts(token)
+    expired = Pair()
+    token = expired.sign()
+    expired.timer.advance(const.JOIN_TIMEOUT_S + 0.001)
+    assert not expired.accepts(token)
 
 
-def test_tokens_of_others_are_refused() -> None:
-    """Guards against tokens for another peer, role, secret or host."""
+def test_tokens_for_another_context_are_refused() -> None:
+    """Guards against tokens of another audience, role, secret or host."""
     assert not Pair().accepts(Pair().sign(audience="eh3"))
-    # A server that asks the client back must not get a client's token.
+    # A client's token must not be valid for the reverse direction.
     assert not Pair().accepts(Pair().sign(role="server"))
     assert not Pair().accepts(Pair(secret="t" * 32).sign())
-    other = Pair()
-    other.client.host = CLIENT._replace(incarnation="eh1-2")
-    assert not Pair().accepts(other.sign())
-    other.client.host = CLIENT._replace(name="eh9")
-    assert not Pair().accepts(other.sign())
+    other_host = Pair()
+    other_host.client.host = CLIENT._replace(incarnation="eh1-2")
+    assert not Pair().accepts(other_host.sign())
+    other_host.client.host = CLIENT._replace(name="eh9")
+    assert not Pair().accepts(other_host.sign())
     for token in ("", "x", "é.\0", Pair().sign()[:-1]):
         assert not Pair().accepts(token)
 
 
-def test_nonces_are_not_drawn_from_the_shared_generator() -> None:
-    """Guards against challenges that a peer could predict."""
+def test_nonces_are_unpredictable() -> None:
+    """Guards against nonces from a shared or seeded generator."""
     service = timer.ManualTimerService()
-    nonces = {auth.OpenChallenge(timer=service).nonce for _ in range(100)}
+    nonces = {auth.IssuedChallenge(timer=service).nonce for _ in range(100)}
     assert len(nonces) == 100
     assert {len(nonce) for nonce in nonces} == {2 * const.JOIN_NONCE_BYTES}
--- a/tests/components/peers/test_codec.py
+++ b/tests/components/peers/test_codec.py
@@ -1,4 +1,4 @@
-"""Test the messages' encoding, its bounds and newer protocols."""
+"""Test the encoding of messages, its limits and newer protocols."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 from tests.components.peers import test_io_mesh
 
 HOST = builders.make_host()
-BEAT = test_io_mesh.make_heartbeat(HOST)._replace(
+HEARTBEAT = test_io_mesh.make_heartbeat(HOST)._replace(
     headroom=(
         model.RegionHeadroom("tallinn", "filing", 3, 1),
         model.RegionHeadroom("tartu", "filing", -1, 0),
@@ -30,21 +30,21 @@
     "t", 0, "", core.Answer(200, "OK", (("a", "b"),), b"\xff\0", "s1"), 5, b"d"
 )
 WORK = builders.make_work("file-claim", work_class=core.WorkClass.FILING)
-SUMMARY = model.ZoneSummary(HOST.zone, 2, 7, ("eh2",), 1, 3, (BEAT,))
+SUMMARY = model.ZoneSummary(HOST.zone, 2, 7, ("eh2",), 1, 3, (HEARTBEAT,))
 MESSAGES: tuple[model.Message, ...] = (
     model.Challenge(1, 1, "eh1", "n"),
     model.Hello(1, HOST, "t", "n"),
     model.Welcome(1, HOST, "t"),
     model.KnownHosts((HOST,)),
     model.Relayed(
-        (model.RelayedSighting("o", 1, BEAT.sightings[0]),),
+        (model.RelayedSighting("o", 1, HEARTBEAT.sightings[0]),),
         (model.ZonePositions(7, (model.ZoneEpoch(2**32 - 1, 2),)),),
         (SUMMARY,),
         1,
         2,
     ),
-    BEAT,
-    BEAT.sightings[0],
+    HEARTBEAT,
+    HEARTBEAT.sightings[0],
     model.CatalogueRequest(3),
     model.CatalogueReply(
         catalogue_model.CatalogueDelta(
@@ -73,20 +73,20 @@
 
 
 def failure_code(data: bytes) -> result_codes.ResultCode:
-    """Return the code with which the data is refused."""
+    """Return the result code of the failure to decode the data."""
     return codec.decode(data).failure().code
 
 
-def test_every_message_survives_the_wire() -> None:
-    """Guards against types and fields lost between encode and decode."""
+def test_every_message_is_decoded_as_it_was_encoded() -> None:
+    """Guards against types and fields that get lost in encoding."""
     assert {type(m).__name__ for m in MESSAGES} == set(codec.MESSAGE_TYPES)
     for message in MESSAGES:
         data = codec.encode(message, message_id=4, reply_to=2)
         assert codec.decode(data).unwrap() == model.Frame(message, 4, 2)
 
 
-def test_newer_protocol_is_read_as_stated() -> None:
-    """Guards against closing connections to hosts that were upgraded."""
+def test_unknown_fields_and_types_are_tolerated() -> None:
+    """Guards against closing connections to hosts with another version."""
     frame = {"type": "GrantReturn", "loan_id": "l", "bundle_number": 1}
     known = codec.decode(cbor2.dumps({**frame, "colour": [1]})).unwrap()
     assert known == model.Frame(model.GrantReturn("l", 1))
@@ -117,77 +117,77 @@
     ],
 )
 def test_invalid_frames_are_refused(frame: Any) -> None:
-    """Guards against messages that do not fit the schema."""
+    """Guards against accepting messages that do not match the schema."""
     code = result_codes.ResultCode.PEER_MESSAGE_INVALID
     result = codec.SparseDecoder().decode(cbor2.dumps(frame))
     assert result.failure().code is code
 
 
 def test_not_a_number_is_refused() -> None:
-    """Guards against waits that compare as neither more nor less."""
+    """Guards against NaN wait times, with which comparisons are false."""
     for wait in (float("nan"), -1.0):
-        data = codec.encode(BEAT._replace(wait_s=(wait, 0.0, 0.0)))
+        data = codec.encode(HEARTBEAT._replace(wait_s=(wait, 0.0, 0.0)))
         assert not is_successful(codec.decode(data))
-    data = codec.encode(BEAT._replace(wait_s=(float("inf"), 0.0, 0.0)))
+    data = codec.encode(HEARTBEAT._replace(wait_s=(float("inf"), 0.0, 0.0)))
     assert is_successful(codec.decode(data))
 
 
 def test_size_and_depth_are_bounded() -> None:
-    """Guards against memory and recursion that a peer could claim."""
+    """Guards against peers causing high memory use or deep recursion."""
     limit = const.MAX_PEER_MESSAGE_BYTES
     with pytest.raises(ValueError, match="at most"):
         codec.encode(model.OutcomeQuery("x" * limit))
     too_large = result_codes.ResultCode.PEER_MESSAGE_TOO_LARGE
     assert failure_code(b"\0" * (limit + 1)) is too_large
     invalid = result_codes.ResultCode.PEER_MESSAGE_INVALID
-    # Depth and repeated keys in fields that a receiver would drop.
+    # Excessive depth and duplicate keys in fields that are ignored.
     name = cbor2.dumps("type") + cbor2.dumps("Acknowledgement")
     assert is_successful(codec.decode(b"\xa1" + name))
     deep = b"\xa2" + name + b"\x61x" + b"\x81" * 40 + b"\x00"
     assert failure_code(deep) is invalid
     assert failure_code(b"\xa2" + name + name) is invalid
-    # An array that claims 2**60 items.
+    # An array whose header declares 2**60 items.
     assert failure_code(b"\x9b\x10" + b"\0" * 7) is invalid
 
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_are_refused_without_an_exception(data: bytes) -> None:
-    """Guards against exceptions that would end the reader's task."""
+    """Guards against exceptions that would end the reading task."""
     assert not is_successful(codec.SparseDecoder().decode(data))
 
 
-ITEM = strategies.builds(
+HEADROOM_ITEMS = strategies.builds(
     model.RegionHeadroom,
     region=strategies.sampled_from("ab"),
     service=strategies.sampled_from("xy"),
     free=strategies.integers(-2, 2),
     held=strategies.integers(0, 2),
 )
-BEATS = strategies.builds(
-    lambda items, queued, state: BEAT._replace(
+HEARTBEATS = strategies.builds(
+    lambda items, queued, state: HEARTBEAT._replace(
         headroom=tuple(items), queued=(queued, 0, 0), state=state
     ),
-    strategies.lists(ITEM, max_size=3),
+    strategies.lists(HEADROOM_ITEMS, max_size=3),
     strategies.integers(0, 2),
     strategies.sampled_from(core.EntryHostState),
 )
 
 
-@given(strategies.lists(BEATS, max_size=8))
-def test_sparse_heartbeats_give_back_whole_ones(
-    beats: list[model.Heartbeat],
+@given(strategies.lists(HEARTBEATS, max_size=8))
+def test_sparse_heartbeats_are_decoded_to_full_ones(
+    heartbeats: list[model.Heartbeat],
 ) -> None:
-    """Guards against values of an older heartbeat that stay behind."""
+    """Guards against stale values from an earlier heartbeat."""
     encoder, decoder = codec.SparseEncoder(), codec.SparseDecoder()
-    for clock_ms, beat in enumerate(beats):
-        sent = beat._replace(clock_ms=clock_ms)
+    for clock_ms, heartbeat in enumerate(heartbeats):
+        sent = heartbeat._replace(clock_ms=clock_ms)
         result = decoder.decode(encoder.encode(sent))
         assert result.unwrap() == model.Frame(sent)
 
 
-def test_a_sparse_heartbeat_of_unknown_headroom_is_refused() -> None:
-    """Guards against an index error that would end the reader's task."""
+def test_amounts_for_a_missing_headroom_item_are_refused() -> None:
+    """Guards against an IndexError that would end the reading task."""
     decoder = codec.SparseDecoder()
-    decoder.decode(codec.encode(BEAT))
+    decoder.decode(codec.encode(HEARTBEAT))
     frame = {"type": "Beat", "clock_ms": 2, "amounts": [[2, 1, 1]]}
     assert not is_successful(decoder.decode(cbor2.dumps(frame)))
--- a/tests/components/peers/test_hosts.py
+++ b/tests/components/peers/test_hosts.py
@@ -1,4 +1,4 @@
-"""Test the follower of the platform's host list."""
+"""Test reading and watching of the platform's host list."""
 
 import asyncio
 from collections.abc import Mapping
@@ -22,7 +22,7 @@
 
 
 class Store(object_store.ObjectStore):
-    """Hold objects and note the calls."""
+    """Store objects in memory and record the calls."""
 
     def __init__(self) -> None:
         self.objects: dict[str, model.StoredObject] = {}
@@ -31,7 +31,7 @@
         self.refusal: result_codes.Refusal | None = None
 
     def write(self, zone: str, *listed: tuple[str, str, str]) -> None:
-        """Set a zone's list from name, role and state."""
+        """Write a zone's list; each host has a name, role and state."""
         self.revision += 1
         key = f"hosts/{zone}"
         entries = [
@@ -68,13 +68,13 @@
     async def put(
         self, key: str, value: Mapping[str, Any], *, expected_revision: int
     ) -> Result[model.StoredObject, result_codes.Refusal]:
-        """Refuse, since only the platform writes the list."""
+        """Raise, since only the platform writes the list."""
         raise NotImplementedError(key, value, expected_revision)
 
     async def watch(
         self, prefix: str, *, after: int, timeout_s: float
     ) -> Result[model.Listing, result_codes.Refusal]:
-        """Return the objects after a revision without waiting."""
+        """Return the objects changed after a revision, without waiting."""
         assert timeout_s == const.HOST_LIST_WATCH_S
         return self._answer(
             f"watch {prefix} {after}",
@@ -83,7 +83,7 @@
 
 
 class Follower:
-    """Hold a host list with its store and what it reported."""
+    """Run a host list on a fake store and record what it reports."""
 
     def __init__(self, *, watcher: bool) -> None:
         self.store = Store()
@@ -101,19 +101,19 @@
             on_servers=self._set_servers,
         )
 
-    def _set_entry_hosts(self, found: tuple[core.EntryHost, ...]) -> None:
-        self.entry_hosts = found
+    def _set_entry_hosts(self, reported: tuple[core.EntryHost, ...]) -> None:
+        self.entry_hosts = reported
 
-    def _set_servers(self, found: tuple[hosts.ServerState, ...]) -> None:
-        self.servers = {state.server: state for state in found}
+    def _set_servers(self, reported: tuple[hosts.ServerState, ...]) -> None:
+        self.servers = {state.server: state for state in reported}
 
     def step(self) -> float:
-        """Run one step of the follower."""
+        """Run one step of the host list."""
         return asyncio.run(self.list.step())
 
 
 def test_a_watcher_lists_once_and_then_watches() -> None:
-    """Guards against missed changes between list and watch."""
+    """Guards against missing changes between the list and the watch."""
     follower = Follower(watcher=True)
     follower.store.write("tartu-a", ("eh1", "entry-host", "live"))
     assert follower.step() == 0.0
@@ -138,7 +138,7 @@
 
 
 def test_other_hosts_poll_slowly_and_only_their_zone_at_scale() -> None:
-    """Guards against the store's read rate and bytes at 6,700 hosts."""
+    """Guards against too many and too large store reads at 6,700 hosts."""
     follower = Follower(watcher=False)
     follower.store.write("tartu-a", ("eh1", "entry-host", "live"))
     waits = [follower.step() for _ in range(20)]
@@ -146,7 +146,7 @@
     poll_s = const.HOST_LIST_POLL_S
     assert min(waits) >= 0.5 * poll_s
     assert max(waits) <= 1.5 * poll_s
-    # Hosts that start together must not stay in step.
+    # Hosts that start at the same time must not poll at the same times.
     assert len(set(waits)) == 20
     many = [(f"h{n}", "entry-host", "live") for n in range(20)]
     follower.store.write("x-a", *many)
@@ -157,7 +157,7 @@
 
 
 def test_outages_and_invalid_objects_keep_the_last_list() -> None:
-    """Guards against dropping all hosts for a fault of the platform."""
+    """Guards against dropping all hosts after a fault of the platform."""
     follower = Follower(watcher=True)
     follower.store.write("tartu-a", ("eh2", "entry-host", "live"))
     follower.step()
@@ -166,25 +166,25 @@
     )
     assert 4.0 <= follower.step() <= 12.0
     follower.store.refusal = None
-    follower.store.write("tartu-a", ("eh2", "king", "live"))
+    follower.store.write("tartu-a", ("eh2", "unknown-role", "live"))
     follower.step()
     assert [h.name for h in follower.entry_hosts] == ["eh2"]
     assert list(follower.list.state.rejected) == ["hosts/tartu-a"]
 
 
 def test_an_older_object_changes_nothing() -> None:
-    """Guards against a lagging read that revives a leaving server."""
+    """Guards against stale reads that mark a leaving server live again."""
     state = hosts.HostListState()
 
-    def entry(name: str, revision: int, value: str) -> bool:
+    def apply_state(name: str, revision: int, value: str) -> bool:
         listed = {"name": name, "role": "backend-server", "state": value}
         return state.apply(
             model.StoredObject("hosts/z", revision, {"hosts": [listed]})
         )
 
-    assert entry("s1", 5, "leaving")
-    assert not entry("s1", 4, "live")
-    assert entry("s1", 6, "leaving")
+    assert apply_state("s1", 5, "leaving")
+    assert not apply_state("s1", 4, "live")
+    assert apply_state("s1", 6, "leaving")
     assert state.servers["s1"] == hosts.ServerState("s1", True, 6, 5)
-    assert entry("s1", 7, "live")
+    assert apply_state("s1", 7, "live")
     assert state.servers["s1"] == hosts.ServerState("s1", False, 7, 7)
--- a/tests/components/peers/test_io_mesh.py
+++ b/tests/components/peers/test_io_mesh.py
@@ -1,4 +1,4 @@
-"""Test the websocket mesh over loopback."""
+"""Test the websocket mesh over the loopback interface."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -26,7 +26,7 @@
 
 
 class Cluster:
-    """Start meshes on loopback and stop them all."""
+    """Manage meshes on the loopback interface."""
 
     def __init__(self) -> None:
         self.timer = timer.LoopTimerService()
@@ -41,20 +41,20 @@
         incarnation: str | None = None,
         zone: str = "tallinn-a",
     ) -> io_mesh.WebsocketMesh:
-        """Start a mesh that listens on a free port."""
+        """Start a mesh on a free port."""
         sock = socket.create_server(("127.0.0.1", 0))
         host = builders.make_host(name, zone=zone)._replace(
             incarnation=incarnation or f"{name}-1",
             peer_url=f"ws://127.0.0.1:{sock.getsockname()[1]}/",
         )
-        beat = make_heartbeat(host)
+        heartbeat = make_heartbeat(host)
         peer = io_mesh.WebsocketMesh(
             host=host,
             secret=secret,
             cluster="test",
             seeds=seeds,
             timer=self.timer,
-            heartbeat=lambda: beat,
+            heartbeat=lambda: heartbeat,
             rng=random.Random(name),
             sock=sock,
         )
@@ -82,15 +82,17 @@
     )
 
 
-async def until(condition: Callable[[], bool], limit_s: float = 8.0) -> None:
+async def wait_until(
+    condition: Callable[[], bool], limit_s: float = 8.0
+) -> None:
     """Wait until the condition holds; fail after limit_s."""
     async with asyncio.timeout(limit_s):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
 
 
-def run(test: Callable[[Cluster], Awaitable[None]]) -> None:
-    """Run a test and stop its meshes afterwards."""
+def run_test(test: Callable[[Cluster], Awaitable[None]]) -> None:
+    """Run a test with a cluster and stop its meshes afterwards."""
 
     async def wrapped() -> None:
         cluster = Cluster()
@@ -102,10 +104,10 @@
     asyncio.run(wrapped())
 
 
-async def join(
+async def attempt_join(
     peer: io_mesh.WebsocketMesh, token_of: Callable[[model.Challenge], str]
 ) -> exceptions.ConnectionClosed | None:
-    """Send a Hello with the token; return how the connection closed."""
+    """Send a Hello with a token; return the closure, or None if joined."""
     name = "stranger"
     host = builders.make_host(name)
     async with client.connect(
@@ -128,14 +130,14 @@
 
 
 def test_one_seed_gives_a_full_mesh_with_one_connection_per_pair() -> None:
-    """Guards against hosts that never meet and against double links."""
+    """Guards against hosts that do not connect or connect twice."""
 
     async def test(cluster: Cluster) -> None:
         first = await cluster.add("eh1")
         seeds = (first.host.peer_url,)
         for name in ("eh2", "eh3", "eh4"):
             await cluster.add(name, seeds=seeds)
-        await until(
+        await wait_until(
             lambda: all(len(m.live_peers()) == 3 for m in cluster.meshes)
         )
         await asyncio.sleep(1.0)
@@ -143,14 +145,14 @@
             assert len(peer.connections) == 3
             assert peer._server is not None
             dialled = sum(c.dialled for c in peer.connections.values())
-            # Also finds connections that were left open but not used.
+            # Also detects open connections that are not in use.
             assert len(peer._server.connections) == 3 - dialled
 
-    run(test)
+    run_test(test)
 
 
-def test_both_ends_dial_at_once() -> None:
-    """Guards against both ends closing the connection the other keeps."""
+def test_one_connection_is_kept_if_both_hosts_dial() -> None:
+    """Guards against each host closing the connection the other keeps."""
 
     async def test(cluster: Cluster) -> None:
         one, two = [await cluster.add(name) for name in ("eh1", "eh2")]
@@ -159,21 +161,23 @@
                 asyncio.create_task(one._dial(two.host.peer_url, "eh2")),
                 asyncio.create_task(two._dial(one.host.peer_url, "eh1")),
             ]
-            await until(
+            await wait_until(
                 lambda: len(one.connections) == len(two.connections) == 1
             )
             await asyncio.sleep(0.2)
             assert one.connections["eh2"].dialled
             assert not two.connections["eh1"].dialled
-            one._drop(one.connections["eh2"], 1000, "next round")
+            one._close_connection(one.connections["eh2"], 1000, "next round")
             await asyncio.gather(*dials)
-            await until(lambda: not one.connections and not two.connections)
+            await wait_until(
+                lambda: not one.connections and not two.connections
+            )
 
-    run(test)
+    run_test(test)
 
 
 def test_request_reply_and_timeout() -> None:
-    """Guards against replies to the wrong request and lost time-outs."""
+    """Guards against mismatched replies and missing time-outs."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -190,7 +194,7 @@
             return model.GrantReturn("l", message.since)
 
         two.set_handler(model.CatalogueRequest, answer)
-        await until(lambda: "eh2" in one.connections)
+        await wait_until(lambda: "eh2" in one.connections)
         results = await asyncio.gather(
             *(
                 one.request("eh2", model.CatalogueRequest(n), timeout_s=1.0)
@@ -200,11 +204,12 @@
         assert [r.unwrap() for r in results] == [
             model.GrantReturn("l", n) for n in range(1, 20)
         ]
-        silent = await one.request(
+        unanswered = await one.request(
             "eh2", model.CatalogueRequest(0), timeout_s=0.1
         )
         assert (
-            silent.failure().code is result_codes.ResultCode.PEER_UNREACHABLE
+            unanswered.failure().code
+            is result_codes.ResultCode.PEER_UNREACHABLE
         )
         unknown = await one.request(
             "eh9", model.CatalogueRequest(0), timeout_s=0.1
@@ -212,25 +217,25 @@
         assert not is_successful(unknown)
         assert not one._pending
         three = await cluster.add("eh3", seeds=(one.host.peer_url,))
-        await until(lambda: "eh1" in three.connections)
+        await wait_until(lambda: "eh1" in three.connections)
         asked = asyncio.create_task(
             one.request("eh2", model.CatalogueRequest(0), timeout_s=0.3)
         )
-        await until(lambda: bool(one._pending))
+        await wait_until(lambda: bool(one._pending))
         (message_id,) = one._pending
         forged = codec.encode(model.Acknowledgement(), reply_to=message_id)
         three.connections["eh1"].put(forged)
         assert not is_successful(await asked)
 
-    run(test)
+    run_test(test)
 
 
-def test_strangers_and_replays_are_turned_away_with_the_code() -> None:
-    """Guards against joining with a wrong, replayed or misdirected token."""
+def test_invalid_and_replayed_tokens_are_refused_with_the_code() -> None:
+    """Guards against joins with an invalid, replayed or foreign token."""
 
     async def test(cluster: Cluster) -> None:
         peer = await cluster.add("eh1")
-        wrong = await cluster.add(
+        other_secret = await cluster.add(
             "eh2", seeds=(peer.host.peer_url,), secret="other" * 8
         )
         host = builders.make_host("stranger")
@@ -245,37 +250,37 @@
                 timer=cluster.timer,
             ).sign(audience=audience, nonce=nonce, role="client")
 
-        kept: list[str] = []
+        used_tokens: list[str] = []
 
-        def good(challenge: model.Challenge) -> str:
-            kept.append(sign(challenge.nonce))
-            return kept[0]
+        def sign_and_keep(challenge: model.Challenge) -> str:
+            used_tokens.append(sign(challenge.nonce))
+            return used_tokens[0]
 
-        assert await join(peer, good) is None
+        assert await attempt_join(peer, sign_and_keep) is None
         for token_of in (
             lambda c: sign(c.nonce, cluster_name="other"),
             lambda c: sign(c.nonce, audience="eh3"),
-            lambda _: kept[0],
+            lambda _: used_tokens[0],
             lambda _: "nonsense",
         ):
-            closed = await join(peer, token_of)
+            closed = await attempt_join(peer, token_of)
             assert closed is not None
             assert closed.rcvd is not None
             assert closed.rcvd.code == 4001
-        await until(lambda: "stranger" not in peer.connections)
+        await wait_until(lambda: "stranger" not in peer.connections)
         assert not peer.connections
-        assert not wrong.connections
+        assert not other_secret.connections
 
-    run(test)
+    run_test(test)
 
 
 def test_invalid_message_closes_the_connection_and_peers_reconnect() -> None:
-    """Guards against acting on messages that do not fit the schema."""
+    """Guards against accepting messages that do not match the schema."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
         two = await cluster.add("eh2", seeds=(one.host.peer_url,))
-        await until(lambda: len(one.live_peers()) == 1)
+        await wait_until(lambda: len(one.live_peers()) == 1)
         old = one.connections["eh2"]
         unknown = codec.encode(model.GrantReturn("l", 1)).replace(
             b"GrantReturn", b"GrantFuture"
@@ -285,57 +290,57 @@
         assert one.connections["eh2"] is old
         other = make_heartbeat(builders.make_host("eh3"))
         two.connections["eh1"].put(codec.encode(other))
-        await until(lambda: one.connections.get("eh2") not in (None, old))
+        await wait_until(lambda: one.connections.get("eh2") not in (None, old))
         assert old.websocket.close_code == 4003
         assert "eh3" not in one.membership.members
 
-    run(test)
+    run_test(test)
 
 
 def test_restart_under_the_same_name_replaces_the_old_incarnation() -> None:
-    """Guards against heartbeats and joins of a superseded process."""
+    """Guards against accepting a superseded process of the same host."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
         seeds = (one.host.peer_url,)
         old = await cluster.add("eh2", seeds=seeds)
-        await until(lambda: len(one.live_peers()) == 1)
+        await wait_until(lambda: len(one.live_peers()) == 1)
         superseded: list[str] = []
         old.on_superseded.append(lambda: superseded.append("eh2"))
         await cluster.add("eh2", seeds=seeds, incarnation="eh2-2")
-        await until(lambda: bool(superseded))
+        await wait_until(lambda: bool(superseded))
         await asyncio.sleep(0.5)
         (view,) = one.live_peers()
         assert view.heartbeat.host.incarnation == "eh2-2"
 
-    run(test)
+    run_test(test)
 
 
 def test_a_stalled_peer_does_not_block_or_grow_the_sender() -> None:
-    """Guards against unbounded memory for a peer that reads nothing."""
+    """Guards against unbounded memory use for a peer that does not read."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
         two = await cluster.add("eh2", seeds=(one.host.peer_url,))
-        await until(lambda: "eh2" in one.connections)
+        await wait_until(lambda: "eh2" in one.connections)
         two.connections["eh1"].websocket.transport.pause_reading()
         record = model.OutcomeRecord("t", 0, "x" * 100_000, None, 1)
         started_s = cluster.timer.monotonic()
-        for _ in range(300):
+        for number in range(300):
             one.send("eh2", model.OutcomeReply(record))
             one.heartbeat_now()
-            if not _ % 20:
+            if not number % 20:
                 await asyncio.sleep(0)
         queue = one.connections["eh2"].queue
         assert cluster.timer.monotonic() - started_s < 5.0
         assert queue.bytes <= const.SEND_QUEUE_BYTES
         assert queue.dropped_frames > 0
 
-    run(test)
+    run_test(test)
 
 
 def test_a_known_host_is_dialled_for_a_request() -> None:
-    """Guards against outcome queries that fail beyond the topology."""
+    """Guards against failed outcome queries to hosts not connected."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -354,31 +359,31 @@
         )
         assert result.unwrap() == model.Acknowledgement()
 
-    run(test)
+    run_test(test)
 
 
-def test_a_larger_fleet_relays_between_zones() -> None:
-    """Guards against zones that do not hear of each other's servers."""
+def test_sightings_are_relayed_between_zones_of_a_larger_fleet() -> None:
+    """Guards against sightings and hosts not known in other zones."""
 
     async def test(cluster: Cluster) -> None:
         for number in range(18):
             await cluster.add(f"h{number}", zone="abc"[number % 3] + "-1")
-        got: dict[str, list[model.Message]] = {}
+        received: dict[str, list[model.Message]] = {}
         for peer in cluster.meshes:
-            # Incarnations and caller URLs are not in the host list.
+            # The host list contains no incarnations and caller URLs.
             peer.set_known_hosts(
                 other.host._replace(incarnation="", caller_urls=("", "", ""))
                 for other in cluster.meshes
             )
 
-            async def note(
+            async def record(
                 _: str,
                 message: model.Message,
                 name: str = peer.host.name,
             ) -> None:
-                got.setdefault(name, []).append(message)
+                received.setdefault(name, []).append(message)
 
-            peer.set_handler(model.Sighting, note)
+            peer.set_handler(model.Sighting, record)
         watchers = [peer for peer in cluster.meshes if peer.is_watcher()]
         assert len(watchers) == 6
         zones = {"a-1", "b-1", "c-1"}
@@ -387,74 +392,74 @@
             views = peer.live_peers()
             return {view.heartbeat.host.zone.name for view in views}
 
-        await until(
+        await wait_until(
             lambda: all(zones_named(peer) == zones for peer in cluster.meshes)
         )
         other = next(m for m in cluster.meshes if not m.is_watcher())
         assert len(other.connections) == 2
         sighting = model.Sighting("s1", "", True, 0)
         other.broadcast(sighting)
-        await until(lambda: len(got) == 17, limit_s=3.0)
+        await wait_until(lambda: len(received) == 17, limit_s=3.0)
         await asyncio.sleep(0.5)
-        assert set(map(len, got.values())) == {1}
+        assert set(map(len, received.values())) == {1}
 
-    run(test)
+    run_test(test)
 
 
-def test_early_heartbeats_are_bounded_but_never_lost() -> None:
-    """Guards against a state change that waits, and a storm of changes."""
+def test_early_heartbeats_are_rate_limited_but_not_lost() -> None:
+    """Guards against delayed state changes and floods of heartbeats."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
         two = await cluster.add("eh2", seeds=(one.host.peer_url,))
-        await until(lambda: len(one.live_peers()) == 1)
-        beat = make_heartbeat(two.host)
-        built = 0
+        await wait_until(lambda: len(one.live_peers()) == 1)
+        heartbeat = make_heartbeat(two.host)
+        built_count = 0
 
-        def build() -> model.Heartbeat:
-            nonlocal built
-            built += 1
-            return beat
+        def build_heartbeat() -> model.Heartbeat:
+            nonlocal built_count
+            built_count += 1
+            return heartbeat
 
-        two.heartbeat = build
+        two.heartbeat = build_heartbeat
         for clock_ms in range(2, 100):
-            beat = beat._replace(clock_ms=clock_ms)
+            heartbeat = heartbeat._replace(clock_ms=clock_ms)
             two.heartbeat_now()
-        await until(
-            lambda: one.membership.members["eh2"].heartbeat == beat,
+        await wait_until(
+            lambda: one.membership.members["eh2"].heartbeat == heartbeat,
             limit_s=0.3,
         )
-        assert built <= 8
+        assert built_count <= 8
 
-    run(test)
+    run_test(test)
 
 
 def test_a_silent_connection_is_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a half-open link that keeps the pair apart."""
-    monkeypatch.setattr(const, "SILENT_CONNECTION_S", 1.2)
+    """Guards against half-open connections that prevent a new one."""
+    monkeypatch.setattr(const, "RECEIVE_TIMEOUT_S", 1.2)
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
         two = await cluster.add("eh2", seeds=(one.host.peer_url,))
-        await until(lambda: len(one.live_peers()) == 1)
+        await wait_until(lambda: len(one.live_peers()) == 1)
         await asyncio.sleep(1.5)
         old = one.connections["eh2"]
         assert two._subscription is not None
         two._subscription.cancel()
-        await until(lambda: one.connections.get("eh2") not in (None, old))
+        await wait_until(lambda: one.connections.get("eh2") not in (None, old))
         assert old.websocket.close_code == 1001
 
-    run(test)
+    run_test(test)
 
 
-def test_connections_that_never_join_are_bounded(
+def test_unauthenticated_connections_are_limited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against strangers that hold connections open."""
-    monkeypatch.setattr(const, "JOIN_VALID_S", 0.5)
-    monkeypatch.setattr(const, "MAX_UNJOINED_CONNECTIONS", 3)
+    """Guards against unauthenticated clients holding connections open."""
+    monkeypatch.setattr(const, "JOIN_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(const, "MAX_PENDING_HANDSHAKES", 3)
 
     async def test(cluster: Cluster) -> None:
         peer = await cluster.add("eh1")
@@ -462,16 +467,16 @@
             await client.connect(peer.host.peer_url, proxy=None)
             for _ in range(4)
         ]
-        await until(lambda: idle[3].close_code == 1013, limit_s=0.4)
-        assert peer._unjoined == 3
-        await until(lambda: peer._unjoined == 0, limit_s=1.5)
+        await wait_until(lambda: idle[3].close_code == 1013, limit_s=0.4)
+        assert peer._pending_handshakes == 3
+        await wait_until(lambda: peer._pending_handshakes == 0, limit_s=1.5)
         closed = [websocket.wait_closed() for websocket in idle]
         await asyncio.wait_for(asyncio.gather(*closed), 1.0)
 
-    run(test)
+    run_test(test)
 
 
-def test_a_server_that_does_not_know_the_secret_is_left() -> None:
+def test_a_server_without_the_secret_is_disconnected() -> None:
     """Guards against sending heartbeats and work to an impostor."""
 
     async def test(cluster: Cluster) -> None:
@@ -489,35 +494,39 @@
         async with server.serve(impostor, "127.0.0.1", 0) as listener:
             port = next(iter(listener.sockets)).getsockname()[1]
             peer = await cluster.add("eh1", seeds=(f"ws://127.0.0.1:{port}/",))
-            await until(lambda: bool(closed), limit_s=3.0)
+            await wait_until(lambda: bool(closed), limit_s=3.0)
             await peer.stop()
         assert closed[0] == 4001
         assert "eh9" not in peer.membership.members
 
-    run(test)
+    run_test(test)
 
 
-def test_amounts_are_sent_rarely_above_the_full_mesh() -> None:
-    """Guards against watchers' traffic, and against states that wait."""
+def test_amounts_are_sent_less_often_above_the_full_mesh() -> None:
+    """Guards against heavy traffic at watchers and delayed state changes."""
     host = builders.make_host("eh1")
-    beat = make_heartbeat(host)
+    heartbeat = make_heartbeat(host)
     peer = io_mesh.WebsocketMesh(
         host=host,
         secret=SECRET,
         cluster="test",
         seeds=(),
         timer=timer.ManualTimerService(),
-        heartbeat=lambda: beat,
+        heartbeat=lambda: heartbeat,
     )
-    busy = beat._replace(queued=(9, 9, 9), wait_s=(1.0, 1.0, 1.0))
+    busy = heartbeat._replace(queued=(9, 9, 9), wait_s=(1.0, 1.0, 1.0))
     leaving = busy._replace(state=core.EntryHostState.LEAVING)
-    assert peer._thin_out(beat, 0.0) == beat
-    assert peer._thin_out(busy, 0.5) == busy
+    assert peer._throttle_amounts(heartbeat, 0.0) == heartbeat
+    assert peer._throttle_amounts(busy, 0.5) == busy
     peer.set_known_hosts(
         builders.make_host(f"h{number}")
         for number in range(const.FULL_MESH_MAX_HOSTS)
     )
-    assert peer._thin_out(beat, 1.0) == busy
-    later = beat._replace(state=leaving.state, sightings=leaving.sightings)
-    assert peer._thin_out(later, 2.0) == leaving
-    assert peer._thin_out(later, 0.5 + const.AMOUNTS_INTERVAL_S) == later
+    assert peer._throttle_amounts(heartbeat, 1.0) == busy
+    later = heartbeat._replace(
+        state=leaving.state, sightings=leaving.sightings
+    )
+    assert peer._throttle_amounts(later, 2.0) == leaving
+    assert (
+        peer._throttle_amounts(later, 0.5 + const.AMOUNTS_INTERVAL_S) == later
+    )
--- a/tests/components/peers/test_membership.py
+++ b/tests/components/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""Test the set of known hosts."""
+"""Test the tracking of known hosts and their states."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -13,90 +13,94 @@
 
 OWN = builders.make_host("eh1")
 PEER = builders.make_host("eh2")
-BEAT = test_io_mesh.make_heartbeat(PEER)
-LATER = PEER._replace(incarnation="eh2-2")
+HEARTBEAT = test_io_mesh.make_heartbeat(PEER)
+RESTARTED_PEER = PEER._replace(incarnation="eh2-2")
 
 
-def test_states_follow_what_is_heard() -> None:
-    """Guards against silent or leaving hosts that count as live."""
+def test_states_follow_received_heartbeats() -> None:
+    """Guards against unreachable or leaving hosts that count as live."""
     known = membership.Membership(own=OWN)
     known.set_listed([OWN, PEER], now=0.0)
     assert set(known.members) == {"eh2"}
-    assert known.state_of("eh2", now=0.0) is model.MemberState.LISTED
+    assert known.state_of("eh2", now=0.0) is model.MemberState.UNCONFIRMED
     assert not known.live(now=0.0)
-    assert known.record_heartbeat(BEAT, now=1.0)
+    assert known.record_heartbeat(HEARTBEAT, now=1.0)
     assert known.state_of("eh2", now=3.0) is model.MemberState.LIVE
-    assert known.state_of("eh2", now=3.1) is model.MemberState.SILENT
+    assert known.state_of("eh2", now=3.1) is model.MemberState.UNREACHABLE
     assert not known.live(now=3.1)
     assert not known.zone_members(now=3.1)
-    # The host may be back without having been heard.
-    late_s = 1.1 + const.SILENT_RETRY_S
-    assert known.state_of("eh2", now=late_s) is model.MemberState.LISTED
-    known.unreachable("eh2", now=late_s)
-    assert known.state_of("eh2", now=late_s) is model.MemberState.SILENT
-    leaving = BEAT._replace(state=core.EntryHostState.LEAVING, clock_ms=9)
+    # The host may have recovered without sending a heartbeat here.
+    late_s = 1.1 + const.UNREACHABLE_RETRY_S
+    assert known.state_of("eh2", now=late_s) is model.MemberState.UNCONFIRMED
+    known.record_dial_failure("eh2", now=late_s)
+    assert known.state_of("eh2", now=late_s) is model.MemberState.UNREACHABLE
+    leaving = HEARTBEAT._replace(state=core.EntryHostState.LEAVING, clock_ms=9)
     assert known.record_heartbeat(leaving, now=late_s)
     assert known.state_of("eh2", now=late_s) is model.MemberState.LEAVING
     assert not known.zone_members(now=late_s)
 
 
 def test_a_reordered_heartbeat_is_ignored() -> None:
-    """Guards against a position or state that moves back."""
+    """Guards against going back to an older position or state."""
     known = membership.Membership(own=OWN)
-    assert known.record_heartbeat(BEAT._replace(clock_ms=5), now=1.0)
-    assert not known.record_heartbeat(BEAT._replace(clock_ms=4), now=9.0)
+    assert known.record_heartbeat(HEARTBEAT._replace(clock_ms=5), now=1.0)
+    assert not known.record_heartbeat(HEARTBEAT._replace(clock_ms=4), now=9.0)
     assert not known.live(now=9.0)
 
 
-def test_a_restarted_clock_is_accepted_with_its_incarnation() -> None:
-    """Guards against ignoring a restarted host, whose clock is lower."""
+def test_a_lower_clock_is_accepted_with_a_new_incarnation() -> None:
+    """Guards against ignoring a restarted host, whose clock starts again."""
     known = membership.Membership(own=OWN)
-    known.record_heartbeat(BEAT._replace(clock_ms=5000), now=1.0)
-    assert known.joined(LATER, now=2.0)
+    known.record_heartbeat(HEARTBEAT._replace(clock_ms=5000), now=1.0)
+    assert known.record_handshake(RESTARTED_PEER, now=2.0)
     assert not known.live(now=2.0)
-    assert known.record_heartbeat(BEAT._replace(host=LATER), now=2.0)
-    assert not known.joined(PEER, now=3.0)
-    assert not known.record_heartbeat(BEAT._replace(clock_ms=9000), now=3.0)
+    assert known.record_heartbeat(
+        HEARTBEAT._replace(host=RESTARTED_PEER), now=2.0
+    )
+    assert not known.record_handshake(PEER, now=3.0)
+    assert not known.record_heartbeat(
+        HEARTBEAT._replace(clock_ms=9000), now=3.0
+    )
 
 
-def test_hearsay_does_not_choose_an_incarnation() -> None:
-    """Guards against retiring the running process for a list's claim."""
+def test_indirect_reports_do_not_set_an_incarnation() -> None:
+    """Guards against superseding the running process due to a report."""
     known = membership.Membership(own=OWN)
-    known.add(LATER, now=0.0)
-    assert known.joined(PEER, now=1.0)
-    known.record_heartbeat(BEAT, now=1.0)
-    known.add(LATER, now=2.0)
+    known.add(RESTARTED_PEER, now=0.0)
+    assert known.record_handshake(PEER, now=1.0)
+    known.record_heartbeat(HEARTBEAT, now=1.0)
+    known.add(RESTARTED_PEER, now=2.0)
     assert known.members["eh2"].host == PEER
-    assert known.joined(LATER, now=3.0)
+    assert known.record_handshake(RESTARTED_PEER, now=3.0)
 
 
 def test_own_name_is_never_a_peer() -> None:
-    """Guards against a former self that the lists still name."""
+    """Guards against connecting to an earlier run of the same host."""
     known = membership.Membership(own=OWN)
     former = OWN._replace(incarnation="eh1-0")
-    assert not known.joined(former, now=0.0)
-    assert not known.record_heartbeat(BEAT._replace(host=former), now=0.0)
+    assert not known.record_handshake(former, now=0.0)
+    assert not known.record_heartbeat(HEARTBEAT._replace(host=former), now=0.0)
     known.set_listed([former], now=0.0)
     assert not known.members
 
 
-def test_hosts_long_gone_are_forgotten_unless_listed() -> None:
-    """Guards against growth by each replaced host."""
+def test_expired_hosts_are_removed_unless_listed() -> None:
+    """Guards against memory growth with each replaced host."""
     known = membership.Membership(own=OWN)
     other = builders.make_host("eh3")
     known.set_listed([other], now=0.0)
-    known.record_heartbeat(BEAT, now=0.0)
-    # What peers remember must not keep a dead host known for ever.
-    known.add(PEER, now=const.FORGET_AFTER_S)
-    assert known.forget(now=const.FORGET_AFTER_S) == ()
-    assert known.forget(now=const.FORGET_AFTER_S + 1) == ("eh2",)
-    known.set_listed([], now=const.FORGET_AFTER_S + 2)
-    assert known.forget(now=const.FORGET_AFTER_S + 3) == ("eh3",)
+    known.record_heartbeat(HEARTBEAT, now=0.0)
+    # Reports of peers must not prevent the removal of a dead host.
+    known.add(PEER, now=const.MEMBER_EXPIRE_S)
+    assert known.remove_expired(now=const.MEMBER_EXPIRE_S) == ()
+    assert known.remove_expired(now=const.MEMBER_EXPIRE_S + 1) == ("eh2",)
+    known.set_listed([], now=const.MEMBER_EXPIRE_S + 2)
+    assert known.remove_expired(now=const.MEMBER_EXPIRE_S + 3) == ("eh3",)
 
 
 EVENTS = strategies.lists(
     strategies.tuples(
-        strategies.sampled_from(("joined", "heard", "add", "listed")),
+        strategies.sampled_from(("handshake", "heartbeat", "add", "listed")),
         strategies.integers(1, 4),
         strategies.integers(0, 3),
     ),
@@ -108,36 +112,36 @@
 def test_incarnations_never_move_back(
     events: list[tuple[str, int, int]],
 ) -> None:
-    """Guards against an old incarnation that displaces a later one."""
+    """Guards against an older incarnation that replaces a newer one."""
     known = membership.Membership(own=OWN)
-    current, retired = "", set()
+    current, superseded = "", set()
     for step, (kind, number, clock_ms) in enumerate(events):
         host = PEER._replace(incarnation=f"eh2-{number}")
         now = step * 0.7
-        if kind == "joined":
-            known.joined(host, now=now)
-        elif kind == "heard":
+        if kind == "handshake":
+            known.record_handshake(host, now=now)
+        elif kind == "heartbeat":
             known.record_heartbeat(
-                BEAT._replace(host=host, clock_ms=clock_ms), now=now
+                HEARTBEAT._replace(host=host, clock_ms=clock_ms), now=now
             )
         elif kind == "add":
             known.add(host, now=now)
         else:
             known.set_listed([host], now=now)
-        held = known.members["eh2"].host.incarnation
-        if held != current:
-            assert held not in retired
-            retired.add(current)
-            current = held
-        beat = known.members["eh2"].heartbeat
-        assert beat is None or beat.host.incarnation == held
+        incarnation = known.members["eh2"].host.incarnation
+        if incarnation != current:
+            assert incarnation not in superseded
+            superseded.add(current)
+            current = incarnation
+        heartbeat = known.members["eh2"].heartbeat
+        assert heartbeat is None or heartbeat.host.incarnation == incarnation
 
 
 @given(
     strategies.lists(
         strategies.tuples(
             strategies.sampled_from(
-                ("heard", "add", "joined", "unreachable", "forget")
+                ("heartbeat", "add", "handshake", "dial_failure", "expire")
             ),
             strategies.sampled_from(("eh2", "eh3")),
             strategies.sampled_from(("tallinn-a", "tartu-a")),
@@ -146,27 +150,27 @@
         max_size=30,
     )
 )
-def test_candidates_change_only_with_version_and_missing(
+def test_candidates_change_only_with_version_and_unavailable(
     events: list[tuple[str, str, str, float]],
 ) -> None:
-    """Guards against a kept plan of peers that misses a change."""
+    """Guards against a cached plan that misses a change of candidates."""
     known = membership.Membership(own=OWN)
     now = 0.0
     seen: dict[tuple[int, frozenset[str]], list[topology.Node]] = {}
     for kind, name, zone, pause_s in events:
         now += pause_s
         host = builders.make_host(name, zone=zone)
-        beat = BEAT._replace(host=host, clock_ms=int(now * 1000))
-        if kind == "heard":
-            known.record_heartbeat(beat, now=now)
+        heartbeat = HEARTBEAT._replace(host=host, clock_ms=int(now * 1000))
+        if kind == "heartbeat":
+            known.record_heartbeat(heartbeat, now=now)
         elif kind == "add":
             known.add(host, now=now)
-        elif kind == "joined":
-            known.joined(host, now=now)
-        elif kind == "unreachable":
-            known.unreachable(name, now=now)
+        elif kind == "handshake":
+            known.record_handshake(host, now=now)
+        elif kind == "dial_failure":
+            known.record_dial_failure(name, now=now)
         else:
-            known.forget(now=now)
+            known.remove_expired(now=now)
         found = sorted(known.candidates(now=now))
         key = known.version, known.unavailable(now=now)
         assert seen.setdefault(key, found) == found
@@ -174,5 +178,5 @@
             name
             for name in sorted(known.members)
             if known.state_of(name, now=now)
-            in (model.MemberState.LIVE, model.MemberState.LISTED)
+            in (model.MemberState.LIVE, model.MemberState.UNCONFIRMED)
         ]
--- a/tests/components/peers/test_send_queue.py
+++ b/tests/components/peers/test_send_queue.py
@@ -1,28 +1,28 @@
-"""Test the bounds of what waits for one peer."""
+"""Test the limits of the send queue of a peer."""
 
 from samphirelug.components.peers import const
 from samphirelug.components.peers import send_queue
 from standins import builders
 from tests.components.peers import test_io_mesh
 
-BEAT = test_io_mesh.make_heartbeat(builders.make_host())
+HEARTBEAT = test_io_mesh.make_heartbeat(builders.make_host())
 
 
 def test_heartbeats_are_dropped_before_frames() -> None:
-    """Guards against stale heartbeats that push out replies."""
+    """Guards against replies displaced by outdated heartbeats."""
     queue = send_queue.SendQueue()
     queue.put(b"reply")
     for clock_ms in range(10_000):
-        queue.put_heartbeat(BEAT._replace(clock_ms=clock_ms))
+        queue.put_heartbeat(HEARTBEAT._replace(clock_ms=clock_ms))
     assert queue.dropped_heartbeats == 9_999
-    assert queue.take() == BEAT._replace(clock_ms=9_999)
+    assert queue.take() == HEARTBEAT._replace(clock_ms=9_999)
     assert queue.take() == b"reply"
     assert queue.take() is None
     assert queue.dropped_frames == 0
 
 
 def test_frames_are_bounded_in_number_and_bytes() -> None:
-    """Guards against memory that grows with a stalled peer."""
+    """Guards against unbounded memory use for a stalled peer."""
     queue = send_queue.SendQueue()
     for number in range(const.SEND_QUEUE_MESSAGES + 3):
         queue.put(b"%d" % number)
--- a/tests/components/peers/test_topology.py
+++ b/tests/components/peers/test_topology.py
@@ -1,4 +1,4 @@
-"""Test which peers a host connects to."""
+"""Test the choice of peers that a host connects to."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def make_nodes(*, zones: int, per_zone: int) -> list[topology.Node]:
-    """Return hosts in zones, two zones to a region."""
+    """Return hosts in zones, with two zones per region."""
     return [
         topology.Node(
             f"eh-{zone}-{index}",
@@ -27,17 +27,17 @@
 
 
 def test_sixteen_hosts_have_a_full_mesh() -> None:
-    """Guards against a small cluster that depends on watchers."""
+    """Guards against small fleets that depend on watchers."""
     nodes = make_nodes(zones=4, per_zone=4)
-    assert len(topology.wanted_peers(nodes[0], nodes)) == 15
+    assert len(topology.peers_to_dial(nodes[0], nodes)) == 15
     more = [*nodes, topology.Node("eh-x", nodes[-1].zone)]
-    assert len(topology.wanted_peers(nodes[0], more)) < 15
+    assert len(topology.peers_to_dial(nodes[0], more)) < 15
 
 
-def test_every_host_is_reached_and_watchers_are_bounded() -> None:
-    """Guards against a fleet that falls apart, or links without bound."""
+def test_all_hosts_are_connected_with_few_connections_each() -> None:
+    """Guards against a split fleet and too many connections per host."""
     nodes = make_nodes(zones=40, per_zone=6)
-    wanted = {n.name: topology.wanted_peers(n, nodes) for n in nodes}
+    peers_by_host = {n.name: topology.peers_to_dial(n, nodes) for n in nodes}
     watchers = {
         name
         for zone in {n.zone.name for n in nodes}
@@ -48,15 +48,18 @@
     assert len(watchers) == 80
     for node in nodes:
         if node.name not in watchers:
-            assert len(wanted[node.name]) == const.WATCHERS_PER_ZONE
+            assert len(peers_by_host[node.name]) == const.WATCHERS_PER_ZONE
         else:
-            # The region's other three watchers and the far ones.
-            assert len(wanted[node.name]) == 3 + const.FAR_ZONES
-        assert wanted[node.name] <= watchers - {node.name}
+            # The three other watchers of the region and the remote ones.
+            assert (
+                len(peers_by_host[node.name])
+                == 3 + const.REMOTE_ZONES_PER_WATCHER
+            )
+        assert peers_by_host[node.name] <= watchers - {node.name}
     reached, frontier = {nodes[0].name}, {nodes[0].name}
     while frontier:
-        linked = {p for n in frontier for p in wanted[n]} | {
-            n for n, peers in wanted.items() if peers & frontier
+        linked = {p for n in frontier for p in peers_by_host[n]} | {
+            n for n, peers in peers_by_host.items() if peers & frontier
         }
         frontier = linked - reached
         reached |= frontier
@@ -64,7 +67,7 @@
 
 
 def test_watchers_change_only_with_their_own_loss() -> None:
-    """Guards against a zone that swaps watchers for an unrelated loss."""
+    """Guards against a change of watchers when another host is lost."""
     names = [f"eh{n}" for n in range(10)]
     first, second = topology.watchers_of("z", names)
     for lost in names:
@@ -80,8 +83,8 @@
     assert topology.is_watcher(host, [])
 
 
-def test_hosts_that_hear_only_the_watchers_leave_the_store_alone() -> None:
-    """Guards against a fleet in which most hosts watch the catalogue."""
+def test_hosts_connected_only_to_watchers_do_not_watch_the_store() -> None:
+    """Guards against most hosts of a fleet watching the catalogue."""
     hosts = [builders.make_host(f"eh{number}") for number in range(31)]
     chosen = topology.watchers_of("tallinn-a", [host.name for host in hosts])
     timer = timer_helper.ManualTimerService()
