--- a/src/samphirelug/components/directory/__init__.py
+++ b/src/samphirelug/components/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Answer callers that ask which entry host to use."""
+"""Tell callers which entry hosts to use."""
--- a/src/samphirelug/components/directory/answer.py
+++ b/src/samphirelug/components/directory/answer.py
@@ -1,9 +1,9 @@
-"""Choose the entry hosts that a caller is told to use.
+"""Choose the entry hosts that are listed in a look-up answer.
 
-Answers a fleet with many more entry hosts than a zone's callers need: a host
-that sends each server little knows little of the server's load, and keeps no
-connection in use. A part of a zone's hosts, the strongest ones, carries its
-callers, and the others take over when these leave.
+A fleet may have many more entry hosts than the callers of a zone need. A host
+that sends few requests to each server knows little of the server's load and
+cannot keep connections in use. Therefore only the hosts of a zone with the
+highest capacity serve its callers; other hosts replace them when they leave.
 """
 
 from collections.abc import Sequence
@@ -11,46 +11,48 @@
 
 from samphirelug.components.fleet import model
 
-MAX_ADDRESSES = 64
-# A caller needs another host when the one that it uses stops.
-MIN_ADDRESSES = 2
-# Hosts that a zone's callers are spread over at least, so that the loss of
-# one moves a quarter of them.
-MIN_SPREAD = 4
-# Part of a zone's hosts that is named beyond that. The strongest third has
-# more than a third of the capacity.
-NAMED_SHARE = 1 / 3
-# What one request costs an entry host; only the ratio between processor and
-# link decides, since hosts are compared with each other.
+MAX_LISTED_HOSTS = 64
+# A caller needs a second host when the one that it uses stops.
+MIN_HOSTS_IN_ZONE = 2
+# Minimum number of hosts that the callers of a zone are spread over, if it
+# has that many. With four, the loss of one moves a quarter of the callers.
+MIN_LISTED_HOSTS = 4
+# Share of a zone's hosts that is listed if it exceeds the minimum. The third
+# with the highest capacity has more than a third of the zone's capacity.
+LISTED_SHARE = 1 / 3
+# Cost of one request at an entry host. Only the ratio of processor time to
+# bytes matters, since hosts are only compared with each other.
 REQUEST_CPU_S = 0.003
 REQUEST_BYTES = 10_000
 
 
 def capacity_per_s(*, cores: float, link_mbps: float) -> float:
-    """Return the requests a second that a host can carry."""
+    """Return the requests per second that a host can handle."""
     return min(cores / REQUEST_CPU_S, link_mbps * 1e6 / 8 / REQUEST_BYTES)
 
 
 def choose_addresses(
     hosts: Sequence[model.HostInstance], *, region: str, zone: str
 ) -> list[str]:
-    """Return caller addresses, those of the nearest hosts only.
+    """Return the caller addresses of the nearest entry hosts only.
 
-    Each availability zone between caller and entry host costs bytes between
-    zones and, between regions, may break a limit on where a body may go.
+    An entry host in another availability zone causes traffic between zones;
+    one in another region may violate a limit on where a body may be sent.
     """
     in_zone = [host for host in hosts if host.zone.name == zone]
-    if len(in_zone) >= MIN_ADDRESSES:
-        return _addresses(in_zone)
+    if len(in_zone) >= MIN_HOSTS_IN_ZONE:
+        return _highest_capacity_addresses(in_zone)
     in_region = [host for host in hosts if host.zone.region == region]
-    return _addresses(in_region or hosts)
+    return _highest_capacity_addresses(in_region or hosts)
 
 
-def _addresses(hosts: Sequence[model.HostInstance]) -> list[str]:
-    """Return the addresses of the strongest hosts."""
-    count = max(MIN_SPREAD, math.ceil(NAMED_SHARE * len(hosts)))
-    strongest = sorted(
+def _highest_capacity_addresses(
+    hosts: Sequence[model.HostInstance],
+) -> list[str]:
+    """Return the caller addresses of the hosts with the highest capacity."""
+    count = max(MIN_LISTED_HOSTS, math.ceil(LISTED_SHARE * len(hosts)))
+    by_capacity = sorted(
         hosts, key=lambda host: (-host.capacity_per_s, host.name)
     )
-    chosen = strongest[: min(count, MAX_ADDRESSES)]
+    chosen = by_capacity[: min(count, MAX_LISTED_HOSTS)]
     return [host.caller_address for host in chosen]
--- a/tests/components/directory/test_answer.py
+++ b/tests/components/directory/test_answer.py
@@ -1,4 +1,4 @@
-"""Test which entry hosts a caller is told to use."""
+"""Test which entry hosts are listed for a caller."""
 
 from samphirelug.components.directory import answer
 from samphirelug.components.fleet import model
@@ -27,16 +27,16 @@
 ]
 
 
-def test_hosts_of_the_zone_come_alone() -> None:
-    """Guard against bytes between zones on the way to the entry host."""
+def test_only_hosts_of_the_zone_are_listed() -> None:
+    """Guard against traffic between zones on the way to the entry host."""
     assert answer.choose_addresses(HOSTS, region="a", zone="a1") == [
         "h1",
         "h2",
     ]
 
 
-def test_single_host_of_a_zone_is_not_named_alone() -> None:
-    """Guard against callers without a choice when their host stops."""
+def test_single_host_of_a_zone_is_not_listed_alone() -> None:
+    """Guard against callers without another host when their host stops."""
     assert answer.choose_addresses(HOSTS, region="a", zone="a2") == [
         "h1",
         "h2",
@@ -44,29 +44,29 @@
     ]
 
 
-def test_other_regions_are_named_only_without_any_near_host() -> None:
+def test_other_regions_are_listed_only_without_hosts_in_the_region() -> None:
     """Guard against bodies sent to regions that are not allowed."""
     assert answer.choose_addresses(HOSTS, region="b", zone="b1") == ["h4"]
     assert len(answer.choose_addresses(HOSTS, region="c", zone="c1")) == 4
 
 
-def test_strongest_hosts_carry_a_large_zone() -> None:
-    """Guard against traffic for hosts with little processor or link."""
+def test_hosts_with_the_highest_capacity_serve_a_large_zone() -> None:
+    """Guard against traffic to hosts with a slow processor or link."""
     zone = [host(f"h{n:02}", "a1", float(n)) for n in range(15)]
-    named = answer.choose_addresses(zone, region="a", zone="a1")
-    assert named == ["h14", "h13", "h12", "h11", "h10"]
+    listed = answer.choose_addresses(zone, region="a", zone="a1")
+    assert listed == ["h14", "h13", "h12", "h11", "h10"]
 
 
-def test_next_strongest_host_takes_over_from_one_that_left() -> None:
+def test_host_that_left_is_replaced_by_the_next_by_capacity() -> None:
     """Guard against a zone that loses capacity while hosts are unused."""
     zone = [host(f"h{n:02}", "a1", float(n)) for n in range(14)]
-    named = answer.choose_addresses(zone[:-1], region="a", zone="a1")
-    assert len(named) == 5
-    assert "h08" in named
+    listed = answer.choose_addresses(zone[:-1], region="a", zone="a1")
+    assert len(listed) == 5
+    assert "h08" in listed
 
 
-def test_capacity_is_what_the_scarcer_resource_allows() -> None:
-    """Guard against a host with a fast processor behind a slow link."""
+def test_capacity_is_limited_by_the_scarcer_resource() -> None:
+    """Guard against overrating a fast processor behind a slow link."""
     slow_link = answer.capacity_per_s(cores=2.0, link_mbps=5.0)
     slow_processor = answer.capacity_per_s(cores=0.1, link_mbps=1000.0)
     both_fast = answer.capacity_per_s(cores=2.0, link_mbps=1000.0)
