--- a/standins/forwarding.py
+++ b/standins/forwarding.py
@@ -46,7 +46,8 @@
         priority=priority,
         has_affinity=True,
         destinations=tuple(
-            routing_model.Destination(*part) for part in destinations
+            routing_model.Destination(*destination)
+            for destination in destinations
         ),
         timeout_s=timeout_s,
         max_attempts=max_attempts,
@@ -55,7 +56,7 @@
 
 
 def service(name: str = "desk") -> routing_model.Service:
-    """Return a service."""
+    """Return the settings of a service."""
     return routing_model.Service(
         name=name,
         health_path="/health",
@@ -68,8 +69,12 @@
 def configuration(
     *routes: routing_model.Route, version: int = 1
 ) -> routing_model.Configuration:
-    """Return a configuration with every service that the routes name."""
-    names = {target.service for one in routes for target in one.destinations}
+    """Return a configuration with all services of the routes."""
+    names = {
+        destination.service
+        for each_route in routes
+        for destination in each_route.destinations
+    }
     return routing_model.Configuration(
         version=version,
         routes=routes,
@@ -113,7 +118,7 @@
     received_at_s: float = 0.0,
     deadline_at_s: float | None = None,
 ) -> forwarding_model.ReceivedRequest:
-    """Return a whole request of a caller."""
+    """Return a completely received request of a caller."""
     return forwarding_model.ReceivedRequest(
         request_id=request_id,
         method=method,
--- a/standins/simulation/placement.py
+++ b/standins/simulation/placement.py
@@ -1,7 +1,7 @@
-"""Replay load on simulated servers, placed by the product's own placer.
+"""Replay load on simulated servers, with the placer of the entry host.
 
-Time is simulated, so that a replay takes milliseconds and repeats exactly.
-Callers come back once after a refusal, as they are told to.
+Time is simulated, so that a replay takes milliseconds and is reproducible.
+Callers retry once after a refusal, at the time that they are given.
 """
 
 from collections.abc import Callable
@@ -23,18 +23,21 @@
 from samphirelug import core
 from standins import forwarding as build
 
-# Work at a server that has handled the object, relative to one that has not.
-WARM_FACTOR = 0.3
-WORK_SPREAD = 0.15
-# Requests that a server queues, as a multiple of its slots.
+# Work time at a server that has handled the object before, relative to one
+# that has not.
+WARM_WORK_FACTOR = 0.3
+# Standard deviation of the logarithm of the work time.
+WORK_TIME_SIGMA = 0.15
+# Maximum queue length of a server, as a multiple of its slots.
 QUEUE_RATIO = 3
-# One way between an entry host and a server.
-DELAY_S = 0.01
-RETRY_SHARE_OF_TIME = 1 / 3
+# One-way delay between an entry host and a server.
+NETWORK_DELAY_S = 0.01
+# Maximum wait before a retry, as a share of the time left to the deadline.
+MAX_RETRY_WAIT_SHARE = 1 / 3
 
 
-class Kind(NamedTuple):
-    """Describe one kind of request."""
+class RequestKind(NamedTuple):
+    """Describe the load and the work of one kind of request."""
 
     route: routing_model.Route
     requests_per_s: float
@@ -43,8 +46,8 @@
     deadline_s: float
 
 
-class Phase(NamedTuple):
-    """Change the rate of one kind for a time."""
+class LoadPhase(NamedTuple):
+    """Change the request rate of one route for a period."""
 
     route: str
     start_s: float
@@ -52,8 +55,8 @@
     factor: float
 
 
-class Outcome(NamedTuple):
-    """Hold what one caller got."""
+class CallerOutcome(NamedTuple):
+    """Hold the result of one caller."""
 
     route: str
     sent_at_s: float
@@ -61,14 +64,14 @@
     result: str
 
 
-class Report(NamedTuple):
-    """Hold what the callers of a replay got."""
+class ReplayReport(NamedTuple):
+    """Hold the results of a replay."""
 
-    outcomes: tuple[Outcome, ...]
-    # Requests that met a server that had not handled their object.
-    first_visits: int
-    # Times at which refused callers were told to come back.
-    return_times_s: tuple[float, ...]
+    outcomes: tuple[CallerOutcome, ...]
+    # Requests at a server that had not handled their object before.
+    affinity_misses: int
+    # Times at which refused callers were told to retry.
+    retry_times_s: tuple[float, ...]
 
     def share(
         self,
@@ -78,76 +81,78 @@
         start_s: float = 0.0,
         end_s: float = float("inf"),
     ) -> float:
-        """Return the share of a result among the callers of a time."""
-        chosen = [
-            one
-            for one in self.outcomes
-            if route in ("", one.route) and start_s <= one.sent_at_s < end_s
+        """Return the share of callers of a period that have a result."""
+        selected = [
+            outcome
+            for outcome in self.outcomes
+            if route in ("", outcome.route)
+            and start_s <= outcome.sent_at_s < end_s
         ]
-        hits = sum(one.result == result for one in chosen)
-        return hits / max(1, len(chosen))
+        matching = sum(outcome.result == result for outcome in selected)
+        return matching / max(1, len(selected))
 
 
 class SimulatedServer:
-    """Run requests in slots, queue a few, refuse the rest."""
+    """Run requests in slots, queue a limited number, refuse the rest."""
 
     def __init__(self, *, slots: int, rng: random.Random) -> None:
         self.slots = slots
         self.rng = rng
         self.running = 0
         self.queue: list[Callable[[], None]] = []
-        self.known_objects: set[str] = set()
+        self.warm_objects: set[str] = set()
         self.slow_factor = 1.0
-        self.first_visits = 0
+        self.affinity_misses = 0
 
-    def work_s(self, kind: Kind, object_key: str) -> float:
-        """Return the time that a request takes once it runs."""
-        work_s = kind.work_s * self.rng.lognormvariate(0.0, WORK_SPREAD)
-        if object_key in self.known_objects:
-            work_s *= WARM_FACTOR
+    def work_s(self, kind: RequestKind, object_key: str) -> float:
+        """Return the time for which a request runs in its slot."""
+        work_s = kind.work_s * self.rng.lognormvariate(0.0, WORK_TIME_SIGMA)
+        if object_key in self.warm_objects:
+            work_s *= WARM_WORK_FACTOR
         else:
-            self.first_visits += 1
-            self.known_objects.add(object_key)
+            self.affinity_misses += 1
+            self.warm_objects.add(object_key)
         return work_s * self.slow_factor
 
     @property
     def report(self) -> placement_load.LoadReport:
-        """Return what the server tells of its load."""
+        """Return the load report that the server sends with an answer."""
         return placement_load.LoadReport(
             self.running, len(self.queue), self.slots
         )
 
 
 class _Request(NamedTuple):
-    kind: Kind
+    kind: RequestKind
     object_key: str
     placer: placement_placer.Placer
     first_sent_at_s: float
     sent_at_s: float
-    is_return: bool
+    is_retry: bool
 
 
 class Replay:
-    """Drive placers and servers through one load."""
+    """Simulate callers, entry hosts and servers under one load."""
 
     def __init__(
         self,
         *,
-        kinds: Sequence[Kind],
+        kinds: Sequence[RequestKind],
         servers: int,
         slots: int = 3,
         hosts: int = 4,
         seed: int = 1,
-        phases: Sequence[Phase] = (),
+        phases: Sequence[LoadPhase] = (),
     ) -> None:
         self.rng = random.Random(seed)
         self.kinds = kinds
         self.phases = phases
         self.now_s = 0.0
-        self.order = itertools.count()
+        # Keeps events at the same time in the order of their scheduling.
+        self.sequence = itertools.count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.outcomes: list[Outcome] = []
-        self.return_times_s: list[float] = []
+        self.outcomes: list[CallerOutcome] = []
+        self.retry_times_s: list[float] = []
         self.service = build.service()
         registry = fleet_registry.ServerRegistry()
         self.servers: dict[str, SimulatedServer] = {}
@@ -164,23 +169,23 @@
             for number in range(hosts)
         ]
 
-    def run(self, seconds: float) -> Report:
-        """Replay arrivals for a time, then let all requests end."""
+    def run(self, seconds: float) -> ReplayReport:
+        """Replay arrivals for a period, then run until all requests ended."""
         for kind in self.kinds:
             self._schedule_arrival(kind, seconds)
         while self.events:
             self.now_s, _, callback = heapq.heappop(self.events)
             callback()
-        return Report(
+        return ReplayReport(
             tuple(self.outcomes),
-            sum(one.first_visits for one in self.servers.values()),
-            tuple(self.return_times_s),
+            sum(server.affinity_misses for server in self.servers.values()),
+            tuple(self.retry_times_s),
         )
 
-    def _at(self, when_s: float, callback: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when_s, next(self.order), callback))
+    def _schedule(self, when_s: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (when_s, next(self.sequence), callback))
 
-    def _schedule_arrival(self, kind: Kind, end_s: float) -> None:
+    def _schedule_arrival(self, kind: RequestKind, end_s: float) -> None:
         factor = 1.0
         for phase in self.phases:
             if phase.route == kind.route.name and (
@@ -195,11 +200,11 @@
 
         def arrive() -> None:
             self._schedule_arrival(kind, end_s)
-            number = self.rng.randrange(kind.objects)
+            object_number = self.rng.randrange(kind.objects)
             self._send(
                 _Request(
                     kind,
-                    f"{kind.route.key}\0{number}",
+                    f"{kind.route.key}\0{object_number}",
                     self.rng.choice(self.placers),
                     self.now_s,
                     self.now_s,
@@ -207,27 +212,30 @@
                 )
             )
 
-        self._at(when_s, arrive)
+        self._schedule(when_s, arrive)
 
     def _send(self, request: _Request) -> None:
-        chosen = request.placer.choose(
+        placement = request.placer.choose(
             route=request.kind.route,
             service=self.service,
             object_key=request.object_key,
             tried=(),
             now=self.now_s,
         )
-        if isinstance(chosen, Failure):
-            self._refuse(request, chosen.failure().retry_after_s)
+        if isinstance(placement, Failure):
+            self._refuse(request, placement.failure().retry_after_s)
             return
-        candidate: placement_placer.Candidate = chosen.unwrap()
+        candidate: placement_placer.Candidate = placement.unwrap()
         request.placer.record_sent(
             candidate.server, service=self.service, now=self.now_s
         )
-        sent = request._replace(sent_at_s=self.now_s)
-        self._at(self.now_s + DELAY_S, lambda: self._reach(sent, candidate))
+        sent_request = request._replace(sent_at_s=self.now_s)
+        self._schedule(
+            self.now_s + NETWORK_DELAY_S,
+            lambda: self._arrive(sent_request, candidate),
+        )
 
-    def _reach(
+    def _arrive(
         self, request: _Request, candidate: placement_placer.Candidate
     ) -> None:
         server = self.servers[candidate.server.instance_id]
@@ -242,7 +250,7 @@
             outcome: forwarding_model.AttemptResult = Failure(
                 forwarding_model.AttemptFailure(failure, server.report)
             )
-            self._learn(request, candidate, outcome)
+            self._observe(request, candidate, outcome)
             self._refuse(request, 0.0)
 
     def _start(
@@ -251,7 +259,9 @@
         server = self.servers[candidate.server.instance_id]
         server.running += 1
         work_s = server.work_s(request.kind, request.object_key)
-        self._at(self.now_s + work_s, lambda: self._finish(request, candidate))
+        self._schedule(
+            self.now_s + work_s, lambda: self._finish(request, candidate)
+        )
 
     def _finish(
         self, request: _Request, candidate: placement_placer.Candidate
@@ -261,32 +271,32 @@
         if server.queue:
             server.queue.pop(0)()
         report = server.report
-        self._at(
-            self.now_s + DELAY_S,
-            lambda: self._answer(request, candidate, report),
+        self._schedule(
+            self.now_s + NETWORK_DELAY_S,
+            lambda: self._deliver_answer(request, candidate, report),
         )
 
-    def _answer(
+    def _deliver_answer(
         self,
         request: _Request,
         candidate: placement_placer.Candidate,
         report: placement_load.LoadReport,
     ) -> None:
         answer = core.Answer(200, "", (), b"", candidate.server.instance_id)
-        self._learn(
+        self._observe(
             request,
             candidate,
             Success(forwarding_model.AttemptAnswer(answer, report, None)),
         )
         latency_s = self.now_s - request.first_sent_at_s
         if latency_s <= request.kind.route.target_latency_s:
-            self._end(request, "in target")
+            self._record_outcome(request, "in target")
         elif latency_s <= request.kind.deadline_s:
-            self._end(request, "late")
+            self._record_outcome(request, "late")
         else:
-            self._end(request, "timed out")
+            self._record_outcome(request, "timed out")
 
-    def _learn(
+    def _observe(
         self,
         request: _Request,
         candidate: placement_placer.Candidate,
@@ -302,23 +312,23 @@
 
     def _refuse(self, request: _Request, retry_after_s: float) -> None:
         left_s = request.first_sent_at_s + request.kind.deadline_s - self.now_s
-        wait_s = min(retry_after_s, left_s * RETRY_SHARE_OF_TIME)
-        if request.is_return or wait_s <= 0.0:
-            self._end(request, "refused")
+        wait_s = min(retry_after_s, left_s * MAX_RETRY_WAIT_SHARE)
+        if request.is_retry or wait_s <= 0.0:
+            self._record_outcome(request, "refused")
             return
-        self.return_times_s.append(self.now_s + wait_s)
-        self._at(
+        self.retry_times_s.append(self.now_s + wait_s)
+        self._schedule(
             self.now_s + wait_s,
             lambda: self._send(
                 request._replace(
-                    is_return=True, placer=self.rng.choice(self.placers)
+                    is_retry=True, placer=self.rng.choice(self.placers)
                 )
             ),
         )
 
-    def _end(self, request: _Request, result: str) -> None:
+    def _record_outcome(self, request: _Request, result: str) -> None:
         self.outcomes.append(
-            Outcome(
+            CallerOutcome(
                 request.kind.route.name,
                 request.first_sent_at_s,
                 self.now_s - request.first_sent_at_s,
--- a/tests/components/placement/test_replay.py
+++ b/tests/components/placement/test_replay.py
@@ -19,10 +19,10 @@
 # Callers of a portal send many short look-ups and fewer long submissions. If
 # all requests were cold, they would need more than the available slots; if
 # all were warm, less than half of them.
-LOOKUP = replay.Kind(
+LOOKUP = replay.RequestKind(
     build.route(name="lookup", path_prefix="/lookup/"), 80.0, 0.64, 72, 3.0
 )
-SUBMIT = replay.Kind(
+SUBMIT = replay.RequestKind(
     build.route(
         name="submit", path_prefix="/submit/", idempotent=False, priority=1
     ),
@@ -31,17 +31,17 @@
     72,
     4.0,
 )
-BURST = replay.Phase("lookup", 12.0, 16.0, 4.0)
+BURST = replay.LoadPhase("lookup", 12.0, 16.0, 4.0)
 # Fills the servers of some objects, while other servers have free slots.
-UNEVEN_BURST = replay.Phase("lookup", 12.0, 16.0, 1.7)
+UNEVEN_BURST = replay.LoadPhase("lookup", 12.0, 16.0, 1.7)
 
 
 def replay_load(
     *,
-    phases: Sequence[replay.Phase] = (),
+    phases: Sequence[replay.LoadPhase] = (),
     seconds: float = 24.0,
     least_loaded: bool = False,
-) -> list[replay.Report]:
+) -> list[replay.ReplayReport]:
     """Replay the load of the portal for each seed."""
     reports = []
     for seed in SEEDS:
@@ -61,7 +61,7 @@
     return reports
 
 
-def mean_share(reports: Sequence[replay.Report], result: str) -> float:
+def mean_share(reports: Sequence[replay.ReplayReport], result: str) -> float:
     """Return the share of callers with a result, averaged over reports."""
     return sum(report.share(result) for report in reports) / len(reports)
 
@@ -99,8 +99,8 @@
     Guards against placement by load alone, which keeps every server cold.
     """
     by_object, by_load = replay_load(), replay_load(least_loaded=True)
-    assert sum(report.first_visits for report in by_object) < 0.5 * sum(
-        report.first_visits for report in by_load
+    assert sum(report.affinity_misses for report in by_object) < 0.5 * sum(
+        report.affinity_misses for report in by_load
     )
     assert mean_share(by_object, "in target") > mean_share(
         by_load, "in target"
@@ -158,7 +158,7 @@
     Guards against a second burst at a retry time that all were given.
     """
     for report in replay_load(phases=[BURST]):
-        times = sorted(report.return_times_s)
+        times = sorted(report.retry_times_s)
         assert len(times) > 20
         max_together = max(
             sum(1 for time_s in times if start <= time_s < start + 0.01)
