--- a/src/samphirelug/components/forwarding/forwarder.py
+++ b/src/samphirelug/components/forwarding/forwarder.py
@@ -264,11 +264,7 @@
 def _final_result(
     summary: _AttemptSummary, refusal: result_codes.Refusal | None
 ) -> RequestResult:
-    """Return the result that holds for all attempts together.
-
-    An answer comes first, then an unknown outcome, then a refusal, which
-    states that no server has run the request.
-    """
+    """Return the strongest result that holds for all attempts."""
     if summary.error_answer is not None:
         return Success(summary.error_answer)
     if summary.unknown_outcome is not None:
--- a/tests/components/forwarding/test_forwarder.py
+++ b/tests/components/forwarding/test_forwarder.py
@@ -226,10 +226,10 @@
         Kind.REFUSED, Kind.REFUSED, 200, report=FREE_SLOT_REPORT
     )
     assert isinstance(harness.run(FILING), core.Answer)
-    assert len({one.server for one in harness.sender.attempts}) == 1
+    assert len({attempt.server for attempt in harness.sender.attempts}) == 1
     harness = ForwarderHarness(Kind.REFUSED, 200, report=FULL_REPORT)
     assert isinstance(harness.run(FILING), core.Answer)
-    assert len({one.server for one in harness.sender.attempts}) == 2
+    assert len({attempt.server for attempt in harness.sender.attempts}) == 2
 
 
 def test_sends_are_limited_when_a_server_keeps_refusing() -> None:
