--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -423,9 +423,9 @@
             incarnation=f"{one}-1",
             address="",
             renewal=8,
-            fair=share(),
+            fair_shares=share(),
             limits=known,
-            floors={},
+            units_in_use={},
             expired=frozenset(),
             leaving=False,
         )
@@ -454,7 +454,7 @@
             ).heartbeat(1.0)
             for n in range(size)
         ]
-        mesh.beats = hosts[1:]
+        mesh.heartbeats = hosts[1:]
         planner = lookup.LookupPlanner(
             catalogue=harness.Catalogue(builders.make_view()),
             mesh=mesh,
--- a/tests/components/peers/test_topology.py
+++ b/tests/components/peers/test_topology.py
@@ -89,7 +89,7 @@
     chosen = topology.watchers_of("tallinn-a", [host.name for host in hosts])
     timer = timer_helper.ManualTimerService()
     mesh = fakes.FakeMesh(timer=timer)
-    mesh.beats = [
+    mesh.heartbeats = [
         test_io_mesh.make_heartbeat(host)
         for host in hosts
         if host.name in chosen
