--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -1,8 +1,10 @@
-"""Drive the pure relay and topology as a fleet, without sockets.
+"""Simulate a fleet of entry hosts with the real topology and relay code.
 
-Run as a module, it prints control traffic for several sizes of fleet:
-python -m tests.components.peers.fleet 30 10 100 1000 6700
-The first number is the time to simulate, in seconds.
+Uses no sockets. Run as a module, it prints the control traffic of fleets of
+several sizes:
+python -m standins.simulation.peers 30 10 100 1000 6700
+The first number is the time to simulate in seconds, the others are the
+numbers of hosts.
 """
 
 from collections.abc import Iterable
@@ -19,16 +21,17 @@
 from samphirelug import core
 from standins import builders
 
-# Header of a websocket frame of 126 to 65,535 bytes, and mask of a client.
+# Size of the websocket header of a frame of 126 to 65,535 bytes, with the mask
+# that clients add.
 FRAME_BYTES = 6
-# Hosts of a zone and zones of a region at full size: 6,700 hosts in 218
-# zones of 55 regions.
+# Hosts per zone and zones per region of the full fleet, which has 6,700 hosts
+# in 218 zones of 55 regions.
 HOSTS_PER_ZONE = 31
 ZONES_PER_REGION = 4
 
 
 class SimulatedHost:
-    """Hold one host's relay, its peers and what it has counted."""
+    """Simulate one host: its relay, peers and traffic counters."""
 
     def __init__(self, *, host: core.EntryHost) -> None:
         self.host = host
@@ -39,11 +42,12 @@
         self.position = 1
         self.sent = self.received = 0
         self.sent_bytes = self.received_bytes = 0
-        # When this host first got each sighting, by server.
+        # Maps servers to the time at which this host received a sighting of
+        # them first.
         self.received_at: dict[str, float] = {}
 
     def heartbeat(self, now: float) -> model.Heartbeat:
-        """Return the host's heartbeat."""
+        """Return the heartbeat of the host."""
         return model.Heartbeat(
             host=self.host,
             state=core.EntryHostState.SERVING,
@@ -57,7 +61,7 @@
 
 
 class Fleet:
-    """Connect simulated hosts by the topology and step their relays."""
+    """Connect simulated hosts by the topology and run their relays."""
 
     def __init__(self, *, size: int, hosts_per_zone: int) -> None:
         self.now = 0.0
@@ -72,7 +76,7 @@
             simulated = SimulatedHost(host=host)
             self.hosts[host.name] = simulated
             self.zones.setdefault(host.zone.name, []).append(simulated)
-        self.full = size <= const.FULL_MESH_MAX_HOSTS
+        self.full_mesh = size <= const.FULL_MESH_MAX_HOSTS
         self.in_flight: list[tuple[str, relay.OutgoingMessage, int]] = []
         self._connect()
 
@@ -86,11 +90,11 @@
             for rank, name in enumerate(topology.watchers_of(zone, names)):
                 self.hosts[name].watcher = True
                 self.hosts[name].primary_watcher = rank == 0
-        # Hosts that are not watchers only look at their own zone.
+        # Hosts that are not watchers only connect to those of their zone.
         for node in nodes:
             simulated = self.hosts[node.name]
             members = self.zones[node.zone.name]
-            if self.full or simulated.watcher:
+            if self.full_mesh or simulated.watcher:
                 peers_to_dial = topology.peers_to_dial(node, nodes)
             else:
                 peers_to_dial = frozenset(
@@ -99,36 +103,42 @@
             for name in peers_to_dial:
                 simulated.peers.add(name)
                 self.hosts[name].peers.add(node.name)
-        if not self.full:
+        if not self.full_mesh:
             self.update_relay_peers()
 
     def update_relay_peers(self) -> None:
-        """Give each relay its peers."""
+        """Set the peers of each relay from the peers of its host."""
         for simulated in self.hosts.values():
             peers = [self.hosts[name] for name in simulated.peers]
             simulated.relay.set_peers(
                 watcher=simulated.watcher,
                 primary_watcher=simulated.primary_watcher,
                 primary_watchers=[
-                    p.host.name for p in peers if p.primary_watcher
+                    peer.host.name for peer in peers if peer.primary_watcher
+                ],
+                others=[
+                    peer.host.name
+                    for peer in peers
+                    if not peer.primary_watcher
                 ],
-                others=[p.host.name for p in peers if not p.primary_watcher],
             )
 
-    def deliver(self, name: str, sightings: Iterable[model.Sighting]) -> None:
-        """Note sightings that reached a host."""
+    def record_sightings(
+        self, name: str, sightings: Iterable[model.Sighting]
+    ) -> None:
+        """Record the sightings that reached a host."""
         for sighting in sightings:
             self.hosts[name].received_at.setdefault(sighting.server, self.now)
 
     def observe(self, name: str, sighting: model.Sighting) -> None:
-        """Let a host observe a server itself."""
-        self.deliver(name, [sighting])
+        """Make a host originate a sighting."""
+        self.record_sightings(name, [sighting])
         self.hosts[name].relay.originate(sighting, now=self.now)
 
     def step(self, *, rng: random.Random | None = None) -> None:
-        """Deliver what is in flight, then let every host send.
+        """Deliver the messages in flight, then run one tick of each relay.
 
-        With a generator, messages are reordered and some come twice.
+        With a generator, messages are reordered and some are duplicated.
         """
         arriving, self.in_flight = self.in_flight, []
         if rng is not None:
@@ -136,12 +146,14 @@
             rng.shuffle(arriving)
         self.now += const.RELAY_TICK_S
         for sender, outgoing, size in arriving:
-            to = self.hosts[outgoing.peer]
-            to.received += 1
-            to.received_bytes += size
-            new = to.relay.receive(sender, outgoing.message, now=self.now)
-            self.deliver(outgoing.peer, new)
-        if self.full:
+            receiver = self.hosts[outgoing.peer]
+            receiver.received += 1
+            receiver.received_bytes += size
+            new_sightings = receiver.relay.receive(
+                sender, outgoing.message, now=self.now
+            )
+            self.record_sightings(outgoing.peer, new_sightings)
+        if self.full_mesh:
             return
         for name, simulated in self.hosts.items():
             zone: tuple[model.Heartbeat, ...] = ()
@@ -163,93 +175,102 @@
                 self.in_flight.append((name, outgoing, size))
 
     def warm_up(self) -> None:
-        """Give every host every zone's summary, as after a long run.
+        """Set the summaries of all zones at every host.
 
-        Sending them over all links takes minutes to simulate at full size.
+        Simulating their distribution takes minutes for the full fleet.
         """
-        known: dict[str, relay.KnownZone] = {}
+        summaries: dict[str, relay.KnownZone] = {}
         for simulated in self.hosts.values():
             if simulated.primary_watcher:
                 name = simulated.host.zone.name
-                zone = [m.heartbeat(self.now) for m in self.zones[name]]
+                zone = [
+                    member.heartbeat(self.now) for member in self.zones[name]
+                ]
                 simulated.relay.tick(
                     own=zone[0], zone=zone[1:], build_summary=True, now=0.0
                 )
-                known[name] = simulated.relay.zones[name]
+                summaries[name] = simulated.relay.zones[name]
         for simulated in self.hosts.values():
-            simulated.relay.zones = dict(known)
-            for box in simulated.relay.outboxes.values():
-                box.summaries.clear()
+            simulated.relay.zones = dict(summaries)
+            for outbox in simulated.relay.outboxes.values():
+                outbox.summaries.clear()
 
     def reset_counters(self) -> None:
-        """Set the counts of traffic to zero."""
+        """Reset the traffic counters."""
         for simulated in self.hosts.values():
             simulated.sent = simulated.received = 0
             simulated.sent_bytes = simulated.received_bytes = 0
 
 
 def heartbeat_bytes(*, regions: int, services: int, changed: int) -> int:
-    """Return the size of a sparse heartbeat after some headroom changed."""
+    """Return the size of a sparse heartbeat in bytes.
+
+    Of the headroom items, the given number has changed.
+    """
     headroom = tuple(
-        model.RegionHeadroom(f"region-{r:02}", f"service-{s}", 7, 5)
-        for r in range(regions)
-        for s in range(services)
+        model.RegionHeadroom(
+            f"region-{region_number:02}", f"service-{service_number}", 7, 5
+        )
+        for region_number in range(regions)
+        for service_number in range(services)
     )
     host = SimulatedHost(host=builders.make_host("eh-0001"))
-    beat = host.heartbeat(1000.0)._replace(headroom=headroom)
+    heartbeat = host.heartbeat(1000.0)._replace(headroom=headroom)
     encoder = codec.SparseEncoder()
-    encoder.encode(beat)
-    after = beat._replace(
+    encoder.encode(heartbeat)
+    changed_heartbeat = heartbeat._replace(
         clock_ms=1_000_500,
-        queued=(1, 2, 3) if changed else beat.queued,
-        wait_s=(0.1, 0.2, 0.3) if changed else beat.wait_s,
+        queued=(1, 2, 3) if changed else heartbeat.queued,
+        wait_s=(0.1, 0.2, 0.3) if changed else heartbeat.wait_s,
         headroom=tuple(
-            item._replace(free=item.free - 1) if n < changed else item
-            for n, item in enumerate(headroom)
+            item._replace(free=item.free - 1) if index < changed else item
+            for index, item in enumerate(headroom)
         ),
     )
-    return len(encoder.encode(after)) + FRAME_BYTES
+    return len(encoder.encode(changed_heartbeat)) + FRAME_BYTES
 
 
 def measure(size: int, *, seconds: float, rng: random.Random) -> None:
-    """Print control traffic of a fleet of one size."""
+    """Simulate a fleet of one size and print its control traffic."""
     started_s = time.perf_counter()
     fleet = Fleet(size=size, hosts_per_zone=min(HOSTS_PER_ZONE, size))
-    if not fleet.full:
+    if not fleet.full_mesh:
         fleet.warm_up()
     while fleet.now < 2.0:
         fleet.step()
     fleet.reset_counters()
-    # 20,000 changes a day, and sightings for 450 hosts a day that leave and
-    # return; the zones get a change 0.5 to 1.5 s apart.
+    # Simulates 20,000 catalogue changes a day and the sightings of 450 hosts a
+    # day that leave and return. Each host gets a change after 0.1 to 1.1 s.
     change_s = 86_400 / 20_000
     sighting_s = 86_400 / 900
     start = fleet.now
-    next_change, next_sighting = start, start
-    pending: list[tuple[float, SimulatedHost, int]] = []
+    next_change_s, next_sighting_s = start, start
+    pending_changes: list[tuple[float, SimulatedHost, int]] = []
     revision, servers = 1, 0
-    seen_at: dict[str, float] = {}
+    observed_at: dict[str, float] = {}
     changed_at: dict[int, float] = {}
     in_force: dict[tuple[str, int], float] = {}
     while fleet.now < start + seconds:
-        if fleet.now >= next_change:
+        if fleet.now >= next_change_s:
             revision += 1
-            next_change += change_s
+            next_change_s += change_s
             changed_at[revision] = fleet.now
             for simulated in fleet.hosts.values():
-                pending.append(
+                pending_changes.append(
                     (fleet.now + 0.1 + rng.random(), simulated, revision)
                 )
-        for when, simulated, target in pending:
+        for when, simulated, revision_to_set in pending_changes:
             if when <= fleet.now:
-                simulated.position = max(simulated.position, target)
-        pending = [item for item in pending if item[0] > fleet.now]
-        if fleet.now >= next_sighting and not fleet.full:
+                simulated.position = max(simulated.position, revision_to_set)
+        pending_changes = [
+            item for item in pending_changes if item[0] > fleet.now
+        ]
+        if fleet.now >= next_sighting_s and not fleet.full_mesh:
             servers += 1
-            next_sighting += sighting_s
+            next_sighting_s += sighting_s
             name = rng.choice(list(fleet.hosts))
             server = f"server-{servers:04}"
-            seen_at[server] = fleet.now
+            observed_at[server] = fleet.now
             fleet.observe(name, model.Sighting(server, "inc", True, 0))
         fleet.step()
         for name, simulated in fleet.hosts.items():
@@ -257,36 +278,46 @@
             if lowest in changed_at:
                 in_force.setdefault((name, lowest), fleet.now)
     report(fleet, seconds)
-    report_delays(fleet, seen_at, changed_at, in_force)
+    report_delays(fleet, observed_at, changed_at, in_force)
     print(f"  simulated in {time.perf_counter() - started_s:.0f} s")
 
 
 def report(fleet: Fleet, seconds: float) -> None:
-    """Print messages and bytes a second by role."""
-    for kind, regions, changed in (("idle", 3, 0), ("busy", 3, 6)):
-        beat = heartbeat_bytes(regions=regions, services=2, changed=changed)
-        rate = 1 / shared_const.HEARTBEAT_INTERVAL_S
-        if not fleet.full:
-            # The amounts are part of some of the heartbeats only.
-            still = heartbeat_bytes(regions=regions, services=2, changed=0)
-            part = shared_const.HEARTBEAT_INTERVAL_S / const.AMOUNTS_INTERVAL_S
-            beat = round(part * beat + (1 - part) * still)
+    """Print messages and bytes per second by role."""
+    for load, regions, changed in (("idle", 3, 0), ("busy", 3, 6)):
+        heartbeat_size = heartbeat_bytes(
+            regions=regions, services=2, changed=changed
+        )
+        heartbeats_per_peer_s = 1 / shared_const.HEARTBEAT_INTERVAL_S
+        if not fleet.full_mesh:
+            # Only some of the heartbeats contain new amounts.
+            unchanged_size = heartbeat_bytes(
+                regions=regions, services=2, changed=0
+            )
+            share = (
+                shared_const.HEARTBEAT_INTERVAL_S / const.AMOUNTS_INTERVAL_S
+            )
+            heartbeat_size = round(
+                share * heartbeat_size + (1 - share) * unchanged_size
+            )
         for role in ("watcher", "other", "all"):
-            chosen = [
+            selected = [
                 simulated
                 for simulated in fleet.hosts.values()
                 if role == "all" or simulated.watcher is (role == "watcher")
             ]
-            if not chosen:
+            if not selected:
                 continue
             rows = []
-            for simulated in chosen:
-                beats = rate * len(simulated.peers)
+            for simulated in selected:
+                heartbeats_per_s = heartbeats_per_peer_s * len(simulated.peers)
                 rows.append(
                     (
-                        simulated.sent / seconds + beats,
-                        simulated.sent_bytes / seconds + beats * beat,
-                        simulated.received_bytes / seconds + beats * beat,
+                        simulated.sent / seconds + heartbeats_per_s,
+                        simulated.sent_bytes / seconds
+                        + heartbeats_per_s * heartbeat_size,
+                        simulated.received_bytes / seconds
+                        + heartbeats_per_s * heartbeat_size,
                         simulated.sent_bytes / seconds,
                         simulated.received_bytes / seconds,
                         len(simulated.peers),
@@ -296,48 +327,48 @@
                 sum(column) / len(rows) for column in zip(*rows, strict=True)
             ]
             worst = [max(column) for column in zip(*rows, strict=True)]
-            both = max(row[1] + row[2] for row in rows)
+            worst_sum = max(row[1] + row[2] for row in rows)
             print(
-                f"{len(fleet.hosts):5} nodes {kind} {role:7} n={len(rows):4}"
+                f"{len(fleet.hosts):5} nodes {load} {role:7} n={len(rows):4}"
                 f" peers {mean[5]:.1f}/{worst[5]}"
                 f" sent msg/s {mean[0]:.1f}/{worst[0]:.1f}"
                 f" sent B/s {mean[1]:.0f}/{worst[1]:.0f}"
                 f" received B/s {mean[2]:.0f}/{worst[2]:.0f}"
-                f" sum {mean[1] + mean[2]:.0f}/{both:.0f}"
+                f" sum {mean[1] + mean[2]:.0f}/{worst_sum:.0f}"
                 f" of it relay {mean[3] + mean[4]:.0f} (mean/worst)"
             )
 
 
 def report_delays(
     fleet: Fleet,
-    seen_at: dict[str, float],
+    observed_at: dict[str, float],
     changed_at: dict[int, float],
     in_force: dict[tuple[str, int], float],
 ) -> None:
-    """Print how long sightings and positions took to reach all hosts."""
-    delays = [
+    """Print the delays until sightings and positions reached all hosts."""
+    sighting_delays_s = [
         simulated.received_at[server] - when
-        for server, when in seen_at.items()
+        for server, when in observed_at.items()
         for simulated in fleet.hosts.values()
         if server in simulated.received_at
     ]
-    reached = len(delays)
+    reached = len(sighting_delays_s)
     print(
-        f"  sightings {len(seen_at)}, reached {reached} of "
-        f"{len(seen_at) * len(fleet.hosts)}, worst "
-        f"{max(delays, default=0.0):.2f} s"
+        f"  sightings {len(observed_at)}, reached {reached} of "
+        f"{len(observed_at) * len(fleet.hosts)}, worst "
+        f"{max(sighting_delays_s, default=0.0):.2f} s"
     )
-    late = [
+    delays_s = [
         when - changed_at[revision] for (_, revision), when in in_force.items()
     ]
     print(
-        f"  lowest position known at {len(late)} of "
+        f"  lowest position known at {len(delays_s)} of "
         f"{len(changed_at) * len(fleet.hosts)} host changes, worst "
-        f"{max(late, default=0.0):.2f} s after the change (hosts take "
+        f"{max(delays_s, default=0.0):.2f} s after the change (hosts take "
         f"it over 0.1 to 1.1 s after it)"
     )
 
 
 if __name__ == "__main__":
-    for text in sys.argv[2:]:
-        measure(int(text), seconds=float(sys.argv[1]), rng=random.Random(1))
+    for size in sys.argv[2:]:
+        measure(int(size), seconds=float(sys.argv[1]), rng=random.Random(1))
