--- a/src/samphirelug/components/peers/auth.py
+++ b/src/samphirelug/components/peers/auth.py
@@ -105,17 +105,17 @@
         """
         used, challenge.used = challenge.used, True
         if used:
-            return _refusal("challenge has already been answered")
+            return _refuse("challenge has already been answered")
         if self.timer.monotonic() > challenge.expires_at_s:
-            return _refusal("challenge has expired")
+            return _refuse("challenge has expired")
         try:
             received = _JOIN_TOKEN_ADAPTER.validate_python(
                 self.serializer.loads(token)
             )
         except itsdangerous.BadData:
-            return _refusal("invalid join token signature")
+            return _refuse("invalid join token signature")
         except pydantic.ValidationError:
-            return _refusal("join token does not match the schema")
+            return _refuse("join token does not match the schema")
         expected = JoinToken(
             cluster=self.cluster,
             host=claimed.name,
@@ -126,11 +126,11 @@
         )
         for field, value in zip(JoinToken._fields, received, strict=True):
             if value != getattr(expected, field):
-                return _refusal(f"join token has an unexpected {field}")
+                return _refuse(f"join token has an unexpected {field}")
         return Success(received)
 
 
-def _refusal(detail: str) -> Result[JoinToken, result_codes.Refusal]:
+def _refuse(detail: str) -> Result[JoinToken, result_codes.Refusal]:
     return Failure(
         result_codes.Refusal(
             result_codes.ResultCode.PEER_UNAUTHENTICATED, detail
--- a/tests/components/peers/test_auth.py
+++ b/tests/components/peers/test_auth.py
@@ -88,8 +88,8 @@
         assert not Pair().accepts(token)
 
 
-def test_nonces_are_unpredictable() -> None:
-    """Guards against nonces from a shared or seeded generator."""
+def test_nonces_are_distinct_and_of_full_length() -> None:
+    """Guards against repeated or short nonces, which a peer could predict."""
     service = timer.ManualTimerService()
     nonces = {auth.IssuedChallenge(timer=service).nonce for _ in range(100)}
     assert len(nonces) == 100
