--- a/standins/simulation/quota.py
+++ b/standins/simulation/quota.py
@@ -1,7 +1,8 @@
-"""Run several entry hosts against a store and a mesh that fail.
+"""Simulate entry hosts that share quota over a failing store and mesh.
 
-Use is counted from outside: each dispatch occupies its units, as a backend
-server would see it, until the request really ends and has lingered.
+Use is counted independently of the hosts: each dispatch occupies its units,
+as a backend server would see it, until the request has actually ended and
+the release delay of the key has passed.
 """
 
 import asyncio
@@ -43,29 +44,33 @@
 )
 
 
-class Use(NamedTuple):
-    """Record units of one key that a dispatch occupies."""
+class OccupiedUnits(NamedTuple):
+    """Represent units of one key that a dispatch occupies."""
 
     since_s: float
     until_s: float
     amount: int
 
 
-class KnownLimits(NamedTuple):
-    """Record the limits that a host acts on, and until when."""
+class AppliedLimits(NamedTuple):
+    """Represent the limits that a host applies until a time."""
 
     host: object
     until_s: float
     limits: Mapping[str, int]
 
 
-def make_view(max_in_flight: int, shift: int) -> catalogue_view.CatalogueView:
+def make_view(
+    max_in_flight: int, shift_requests: int
+) -> catalogue_view.CatalogueView:
     zones = ["tallinn-a", "tartu-a"]
     work = builders.make_work("status", work_class=core.WorkClass.STATUS)
     work["max_answer_bytes"] = 100
     entries = [
         builders.make_region(
-            zone[:-2], max_in_flight=max_in_flight, shift_requests=shift
+            zone[:-2],
+            max_in_flight=max_in_flight,
+            shift_requests=shift_requests,
         )
         for zone in zones
     ]
@@ -79,15 +84,15 @@
     )
 
 
-class CatalogueHolder:
-    """Stand in for CatalogueState."""
+class FakeCatalogue:
+    """Provide a view in place of CatalogueState."""
 
     def __init__(self, view: catalogue_view.CatalogueView) -> None:
         self.view = view
 
 
 class QuotaSimulation:
-    """Own the clock, the store's objects, the hosts and the true use."""
+    """Simulate the clock, the stored objects, the hosts and the actual use."""
 
     def __init__(self, *, seed: int, settings: model.SeatSettings) -> None:
         self.settings = settings
@@ -95,79 +100,87 @@
         self.timer = timer_helper.ManualTimerService(start_s=1000.0)
         self.objects: dict[str, store_model.StoredObject] = {}
         self.revision = 0
-        self.store_up = True
+        self.store_available = True
         self.failure_rate = 0.0
-        # Writes take effect this much later, after their answer is lost.
+        # Writes take effect this much later. From 1 s on, their callers have
+        # timed out by then.
         self.write_delay_s = 0.0
         self.calls = 0
         self.writes = 0
         self.hosts: dict[str, Host] = {}
-        self.starts = itertools.count(1)
+        self.sequence = itertools.count(1)
         self.view = make_view(7, 5)
-        self.in_use: dict[str, list[Use]] = {}
-        self.known: list[KnownLimits] = []
+        self.in_use: dict[str, list[OccupiedUnits]] = {}
+        self.applied: list[AppliedLimits] = []
         self.dispatches = 0
         self.loans = 0
         self.unit_loans = 0
-        # Bytes of requests that need nothing but a link, where not 0.
+        # If not 0, each request needs this many bytes of a link and no other
+        # units.
         self.bulk_bytes = 0
-        self.peak: dict[str, float] = {}
+        self.peak_use: dict[str, float] = {}
 
-    def fails(self) -> bool:
+    def draw_failure(self) -> bool:
         return self.rng.random() < self.failure_rate
 
-    def learn(self, host: object, counts: Mapping[str, int]) -> None:
-        """Note that a host acts on other limits from now on."""
-        # It may use bundles that it borrowed before for LOAN_S more.
+    def record_limits(
+        self, host: object, limit_amounts: Mapping[str, int]
+    ) -> None:
+        """Record that a host applies other limits from now on."""
+        # It may use bundles that it has borrowed for up to LOAN_S more.
         end_s = self.timer.monotonic() + const.LOAN_S
-        self.known = [
-            known._replace(until_s=min(known.until_s, end_s))
-            if known.host is host
-            else known
-            for known in self.known
+        self.applied = [
+            applied._replace(until_s=min(applied.until_s, end_s))
+            if applied.host is host
+            else applied
+            for applied in self.applied
         ]
-        if counts:
-            self.known.append(KnownLimits(host, math.inf, counts))
+        if limit_amounts:
+            self.applied.append(AppliedLimits(host, math.inf, limit_amounts))
 
-    def used(self, bundle: model.Bundle, end_s: float) -> None:
-        """Count a dispatch whose request ends at end_s, and check it.
+    def record_dispatch(self, bundle: model.Bundle, end_s: float) -> None:
+        """Count a dispatch whose request ends at end_s, and check limits.
 
-        Requests that were dispatched since a time may together use no more
-        than the highest limit that any host has acted on since then.
+        Requests dispatched since any point in time must not together use
+        more than the highest limit that any host has applied since then.
         """
         now = self.timer.monotonic()
-        linger = limits.quota_limits(self.view)
+        quota_limits = limits.quota_limits(self.view)
         self.dispatches += 1
         for key, amount in bundle.units:
-            until_s = end_s + linger[key].release_delay_s
-            uses = [
+            until_s = end_s + quota_limits[key].release_delay_s
+            occupied = [
                 use for use in self.in_use.get(key, ()) if use.until_s > now
             ]
-            uses.append(Use(now, until_s, amount))
-            self.in_use[key] = uses
+            occupied.append(OccupiedUnits(now, until_s, amount))
+            self.in_use[key] = occupied
             total = 0
-            for use in reversed(uses):
+            for use in reversed(occupied):
                 total += use.amount
-                bound = max(
-                    known.limits.get(key, 0)
-                    for known in self.known
-                    if known.until_s >= use.since_s
+                limit = max(
+                    applied.limits.get(key, 0)
+                    for applied in self.applied
+                    if applied.until_s >= use.since_s
                 )
-                assert total <= bound, (now, key, total, bound)
-            part = sum(use.amount for use in uses) / linger[key].limit
-            self.peak[key] = max(self.peak.get(key, 0.0), part)
+                assert total <= limit, (now, key, total, limit)
+            used_fraction = (
+                sum(use.amount for use in occupied) / quota_limits[key].limit
+            )
+            self.peak_use[key] = max(
+                self.peak_use.get(key, 0.0), used_fraction
+            )
 
     def set_view(self, view: catalogue_view.CatalogueView) -> None:
         self.view = view
         for host in self.hosts.values():
-            host.later(self.rng.random(), host.take_view)
+            host.call_later(self.rng.random(), host.update_view)
 
     def start(self, name: str, zone: str) -> "Host":
         host = Host(sim=self, name=name, zone=zone)
         self.hosts[name] = host
         return host
 
-    def names_in(self, region: str) -> frozenset[str]:
+    def hosts_in(self, region: str) -> frozenset[str]:
         return frozenset(
             host.name
             for host in self.hosts.values()
@@ -175,7 +188,7 @@
         )
 
     async def run(self, duration_s: float) -> None:
-        """Advance all clocks in steps, with some load on every host."""
+        """Advance all clocks in steps and generate load on every host."""
         for _ in range(int(duration_s / STEP_S)):
             self.timer.advance(STEP_S)
             for host in list(self.hosts.values()):
@@ -187,11 +200,11 @@
                 await asyncio.sleep(0)
             for host in list(self.hosts.values()):
                 if not host.paused and not host.dead:
-                    host.load()
+                    host.generate_load()
 
 
 class Host:
-    """Run the quota parts of one entry host."""
+    """Run the quota components of one entry host."""
 
     def __init__(self, *, sim: QuotaSimulation, name: str, zone: str) -> None:
         self.sim = sim
@@ -199,20 +212,22 @@
         self.region = zone[:-2]
         self.paused = False
         self.dead = False
-        self.cut_off = False
-        self.loading = False
-        self.demand = 0.5
-        self.orphans = 0.1
+        self.partitioned = False
+        self.generating_load = False
+        self.request_probability = 0.5
+        self.orphan_probability = 0.1
         self.timer = timer_helper.ManualTimerService(
             start_s=sim.timer.monotonic()
         )
-        self.catalogue = CatalogueHolder(sim.view)
+        self.catalogue = FakeCatalogue(sim.view)
         self.ledger = quota_ledger.QuotaLedger(timer=self.timer)
-        # As admission does, units are used as they may be free.
-        self.ledger.on_free.append(self.load_in_step)
+        # Like admission, dispatches as soon as units may be free.
+        self.ledger.on_free.append(self.on_units_freed)
         self.mesh = FakeMesh(self)
         identity = builders.make_host(name, zone=zone)
-        identity = identity._replace(incarnation=f"{name}-{next(sim.starts)}")
+        identity = identity._replace(
+            incarnation=f"{name}-{next(sim.sequence)}"
+        )
         self.borrower = loans.Borrower(
             ledger=self.ledger,
             mesh=self.mesh,
@@ -232,24 +247,24 @@
             rng=sim.rng,
             host=identity,
             catalogue=self.catalogue,
-            hosts_of=sim.names_in,
+            hosts_of=sim.hosts_in,
             settings=sim.settings,
         )
-        self.take_view()
+        self.update_view()
         self.task = asyncio.get_running_loop().create_task(self.keeper.run())
 
-    def take_view(self) -> None:
+    def update_view(self) -> None:
         if self.dead:
             return
         self.catalogue.view = self.sim.view
-        counts = limits.quota_limits(self.sim.view)
-        self.ledger.set_limits(counts)
-        self.sim.learn(
-            self, {key: limit.limit for key, limit in counts.items()}
+        quota_limits = limits.quota_limits(self.sim.view)
+        self.ledger.set_limits(quota_limits)
+        self.sim.record_limits(
+            self, {key: limit.limit for key, limit in quota_limits.items()}
         )
 
-    def later(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Call back on this host's event loop; not while it is paused."""
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Run a callback by this host's timer, which stops during a pause."""
         self.timer.call_at(
             when_s=self.sim.timer.monotonic() + delay_s, callback=callback
         )
@@ -257,39 +272,39 @@
     def kill(self) -> None:
         self.dead = True
         self.task.cancel()
-        self.sim.learn(self, {})
+        self.sim.record_limits(self, {})
 
     def resume(self) -> None:
-        """Wake after a pause; the first reading of the clock is late."""
+        """Resume after a pause, with a jump of the clock."""
         self.paused = False
         self.timer.now_s = self.sim.timer.monotonic()
-        # Work may be dispatched before any timer callback has run.
-        self.load()
+        # Requests may be dispatched before any timer callback has run.
+        self.generate_load()
 
-    def load_in_step(self) -> None:
-        """Dispatch from within a step of the ledger, but not in itself."""
-        if self.loading or self.paused or self.dead:
+    def on_units_freed(self) -> None:
+        """Dispatch from within a ledger callback, but not recursively."""
+        if self.generating_load or self.paused or self.dead:
             return
-        self.load()
+        self.generate_load()
 
-    def load(self) -> None:
-        """Dispatch what the demand asks for."""
-        self.loading = True
-        self.load_units()
-        self.loading = False
+    def generate_load(self) -> None:
+        """Try to dispatch requests, guarded against recursion."""
+        self.generating_load = True
+        self.try_dispatches()
+        self.generating_load = False
 
-    def load_units(self) -> None:
-        """Try to dispatch a few requests, with own units or borrowed."""
+    def try_dispatches(self) -> None:
+        """Try to dispatch up to four requests, with own or borrowed units."""
         if self.sim.bulk_bytes:
-            self.load_bulk()
+            self.try_bulk_dispatch()
             return
         rng = self.sim.rng
         for _ in range(4):
-            if rng.random() >= self.demand:
+            if rng.random() >= self.request_probability:
                 continue
             server = rng.choice(list(self.sim.view.servers.values()))
             home = rng.choice(["tallinn", "tartu"])
-            bundle = self.bundle(server, self.region, home)
+            bundle = self.make_bundle(server, self.region, home)
             hold = self.ledger.try_hold(bundle)
             if isinstance(hold, Success):
                 self.dispatch(bundle, hold.unwrap(), None)
@@ -310,11 +325,11 @@
                 self.sim.loans += 1
                 self.dispatch(permit.bundle, permit.hold_id, permit)
 
-    def load_bulk(self) -> None:
-        """Try to dispatch a request that needs many bytes of a link."""
+    def try_bulk_dispatch(self) -> None:
+        """Try to dispatch one request that needs many bytes of a link."""
         amount = self.sim.bulk_bytes
         key = self.sim.rng.choice(BULK_KEYS)
-        if self.sim.rng.random() >= self.demand:
+        if self.sim.rng.random() >= self.request_probability:
             return
         bundle = model.Bundle("tartu", "s", (model.UnitAmount(key, amount),))
         hold = self.ledger.try_hold(bundle)
@@ -323,7 +338,7 @@
         else:
             self.borrower.request_units(key=key, needed=amount)
 
-    def bundle(
+    def make_bundle(
         self, server: core.BackendServer, host_region: str, home: str
     ) -> model.Bundle:
         view = self.sim.view
@@ -342,19 +357,19 @@
         hold_id: int,
         permit: admission_model.Permit | None,
     ) -> None:
-        """Use a permit for a time; the server may work on for longer."""
+        """Use units for a request; an orphaned one runs on at the server."""
         rng = self.sim.rng
         now = self.sim.timer.monotonic()
-        orphaned = rng.random() < self.orphans
+        orphaned = rng.random() < self.orphan_probability
         duration_s = rng.choice([0.3, 1.0, 4.0])
         deadline_s = now + (rng.uniform(20, 30) if orphaned else duration_s)
         end_s = deadline_s + 0.5 if orphaned else deadline_s
-        self.sim.used(bundle, end_s)
+        self.sim.record_dispatch(bundle, end_s)
         if permit is not None:
             ended = admission_model.PermitEnd(
                 "orphaned" if orphaned else "complete"
             )
-            self.later(
+            self.call_later(
                 0.5 if orphaned else duration_s,
                 lambda: self.borrower.end(
                     permit, ended=ended, deadline_at_s=deadline_s
@@ -363,21 +378,21 @@
         elif orphaned:
             self.ledger.release_at(hold_id, end_s)
         else:
-            self.later(duration_s, lambda: self.ledger.release(hold_id))
+            self.call_later(duration_s, lambda: self.ledger.release(hold_id))
 
     async def grant(
         self,
         sender: str,  # noqa: ARG002
         message: peer_model.Message,
     ) -> peer_model.Message:
-        """Lend what is asked for, as it is free."""
+        """Lend the requested bundles as far as units are free."""
         assert isinstance(message, peer_model.GrantRequest)
-        loan_id = f"{self.identity.incarnation}/{next(self.sim.starts)}"
+        loan_id = f"{self.identity.incarnation}/{next(self.sim.sequence)}"
         lent: list[model.Bundle] = []
         view = self.sim.view
         duration_s = self.sim.rng.choice([0.5, 1.0]) * const.LOAN_S
         for server in view.servers_in(service="filing", region=message.region):
-            bundle = self.bundle(
+            bundle = self.make_bundle(
                 server, message.host_region, message.home_region
             )
             if len(lent) < message.bundles_wanted and self.ledger.lend(
@@ -398,18 +413,18 @@
         sender: str,  # noqa: ARG002
         message: peer_model.Message,
     ) -> peer_model.Message:
-        """Lend all that is free, up to what is asked for."""
+        """Lend the free units, up to the requested amounts."""
         assert isinstance(message, peer_model.UnitRequest)
-        loan_id = f"{self.identity.incarnation}/{next(self.sim.starts)}"
+        loan_id = f"{self.identity.incarnation}/{next(self.sim.sequence)}"
         units = tuple(
             model.UnitAmount(key, min(amount, self.ledger.free(key)))
             for key, amount in message.units
         )
-        wanted = any(
+        is_collecting = any(
             self.borrower.is_requesting_units(key) for key, _ in units
         )
-        enough = all(unit.amount for unit in units) and not wanted
-        lent = enough and self.ledger.lend(
+        can_lend = all(unit.amount for unit in units) and not is_collecting
+        lent = can_lend and self.ledger.lend(
             units,
             loan_id=loan_id,
             bundle_number=0,
@@ -422,7 +437,7 @@
 
 
 class FakeMesh(peer_mesh.PeerMesh):
-    """Deliver, delay or lose messages between simulated hosts."""
+    """Deliver, delay, repeat or lose messages between simulated hosts."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -434,10 +449,10 @@
             for peer in self.host.sim.hosts.values()
             if peer is not self.host and not peer.dead
         ]
-        return tuple(map(self.view_of, peers))
+        return tuple(map(self.make_peer_view, peers))
 
-    def view_of(self, peer: Host) -> peer_model.PeerView:
-        beat = peer_model.Heartbeat(
+    def make_peer_view(self, peer: Host) -> peer_model.PeerView:
+        heartbeat = peer_model.Heartbeat(
             host=peer.identity,
             state=core.EntryHostState.SERVING,
             clock_ms=0,
@@ -455,43 +470,54 @@
             wait_s=(0.0, 0.0, 0.0),
             sightings=(),
         )
-        return peer_model.PeerView(beat, self.host.timer.monotonic(), True)
+        return peer_model.PeerView(
+            heartbeat, self.host.timer.monotonic(), True
+        )
 
     def deliver(
         self,
         name: str,
         message: peer_model.Message,
-        answer: Callable[[peer_model.Message | None], None],
+        on_answer: Callable[[peer_model.Message | None], None],
     ) -> None:
         sim = self.host.sim
         peer = sim.hosts.get(name)
-        if peer is None or self.host.cut_off or peer.cut_off or sim.fails():
+        if (
+            peer is None
+            or self.host.partitioned
+            or peer.partitioned
+            or sim.draw_failure()
+        ):
             return
         handler = peer.mesh.handlers[type(message)]
 
         async def handle() -> None:
-            answer(await handler(self.host.name, message))
+            on_answer(await handler(self.host.name, message))
 
-        delay_s = sim.rng.choice([0.0, 0.3, 3.0 if sim.fails() else 0.1])
-        peer.later(delay_s, lambda: spawn(handle()))
-        if sim.fails() and isinstance(message, peer_model.GrantReturn):
-            peer.later(delay_s + 5.0, lambda: spawn(handle()))
+        delay_s = sim.rng.choice(
+            [0.0, 0.3, 3.0 if sim.draw_failure() else 0.1]
+        )
+        peer.call_later(delay_s, lambda: start_task(handle()))
+        if sim.draw_failure() and isinstance(message, peer_model.GrantReturn):
+            peer.call_later(delay_s + 5.0, lambda: start_task(handle()))
 
     async def request(
         self, host: str, message: peer_model.Message, *, timeout_s: float
     ) -> Result[peer_model.Message, result_codes.Refusal]:
-        box: list[peer_model.Message | None] = []
+        answers: list[peer_model.Message | None] = []
         sim = self.host.sim
         self.deliver(
             host,
             message,
-            lambda got: None if sim.fails() else box.append(got),
+            lambda answer: (
+                None if sim.draw_failure() else answers.append(answer)
+            ),
         )
         end_s = self.host.timer.monotonic() + timeout_s
-        while not box and self.host.timer.monotonic() < end_s:
+        while not answers and self.host.timer.monotonic() < end_s:
             await self.host.timer.sleep(STEP_S)
-        if box and box[0] is not None:
-            return Success(box[0])
+        if answers and answers[0] is not None:
+            return Success(answers[0])
         return Failure(result_codes.Refusal(CODES.PEER_UNREACHABLE, ""))
 
     def send(self, host: str, message: peer_model.Message) -> None:
@@ -507,14 +533,14 @@
 TASKS: set[asyncio.Task[None]] = set()
 
 
-def spawn(work: Coroutine[Any, Any, None]) -> None:
+def start_task(work: Coroutine[Any, Any, None]) -> None:
     task = asyncio.get_running_loop().create_task(work)
     TASKS.add(task)
     task.add_done_callback(TASKS.discard)
 
 
 class FakeStore(object_store.ObjectStore):
-    """Apply calls late or never, and lose answers."""
+    """Apply store calls late or never, and lose answers."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -529,27 +555,29 @@
     ) -> Result[store_model.StoredObject, result_codes.Refusal]:
         sim = self.host.sim
         sim.calls += 1
-        if not sim.store_up:
+        if not sim.store_available:
             await self.host.timer.sleep(STEP_S)
             return self.refuse(CODES.STORE_UNAVAILABLE)
-        box: list[Result[store_model.StoredObject, result_codes.Refusal]] = []
+        answers: list[
+            Result[store_model.StoredObject, result_codes.Refusal]
+        ] = []
         delay_s = sim.rng.random() * STEP_S + extra_delay_s
-        if sim.fails():
-            # May take effect long after the caller has given up waiting.
+        if sim.draw_failure():
+            # May take effect long after the caller has timed out.
             delay_s = sim.rng.uniform(1.0, 8.0)
-        if not sim.fails():
+        if not sim.draw_failure():
             sim.timer.call_at(
                 when_s=sim.timer.monotonic() + delay_s,
-                callback=lambda: box.append(action()),
+                callback=lambda: answers.append(action()),
             )
-        lost = sim.fails()
+        answer_lost = sim.draw_failure()
         end_s = self.host.timer.monotonic() + 1.0
-        while not box and self.host.timer.monotonic() < end_s:
+        while not answers and self.host.timer.monotonic() < end_s:
             await self.host.timer.sleep(STEP_S)
         return (
             self.refuse(CODES.STORE_OUTCOME_UNKNOWN)
-            if (lost or not box)
-            else box[0]
+            if (answer_lost or not answers)
+            else answers[0]
         )
 
     def refuse(
--- a/tests/components/quota/test_seat_keeper.py
+++ b/tests/components/quota/test_seat_keeper.py
@@ -92,7 +92,7 @@
             sim.start(name, ZONES[name])
         elif rng.random() < 0.3 and candidate.paused:
             candidate.resume()
-    sim.store_up = sim.store_up or rng.random() < 0.4
+    sim.store_available = sim.store_available or rng.random() < 0.4
     host = sim.hosts[rng.choice(sorted(sim.hosts))]
     action = rng.randrange(8)
     if host.dead or host.paused:
@@ -102,9 +102,9 @@
     elif action == 1:
         host.paused = True
     elif action == 2:
-        host.cut_off = not host.cut_off
+        host.partitioned = not host.partitioned
     elif action == 3:
-        sim.store_up = False
+        sim.store_available = False
     elif action == 4:
         sim.set_view(
             simulation.make_view(rng.choice([3, 7, 14]), rng.choice([2, 5]))
@@ -112,7 +112,7 @@
     elif action == 5:
         sim.failure_rate = rng.choice([0.0, 0.1, 0.4])
     elif action == 6:
-        host.demand = rng.choice([0.0, 0.1, 1.0])
+        host.request_probability = rng.choice([0.0, 0.1, 1.0])
     else:
         await stop_host(sim, host)
 
@@ -134,7 +134,7 @@
     assert sim.dispatches > 150
     assert sim.loans > 10
     assert sim.unit_loans > 10
-    assert sim.peak[REGION] > 0.8
+    assert sim.peak_use[REGION] > 0.8
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -149,13 +149,13 @@
         for _ in range(30):
             await inject_fault(sim, rng)
             for host in sim.hosts.values():
-                host.demand = 1.0
+                host.request_probability = 1.0
             await sim.run(rng.choice([0.5, 3.0, 10.0]))
 
     sim = run_scenario(scenario, seed=seed)
     assert sim.dispatches > 10
     assert sim.unit_loans > 50
-    assert max(sim.peak[key] for key in simulation.BULK_KEYS) >= 0.6
+    assert max(sim.peak_use[key] for key in simulation.BULK_KEYS) >= 0.6
 
 
 def test_new_host_gets_its_share_within_seconds() -> None:
@@ -168,17 +168,17 @@
         assert sorted(usable_units(sim).values()) == [3, 4]
         for host in sim.hosts.values():
             # More requests than the hosts can serve, so they are never idle.
-            host.demand, host.orphans = 1.0, 0.0
+            host.request_probability, host.orphan_probability = 1.0, 0.0
         await sim.run(60.0)
         calls = sim.calls
-        sim.start("eh3", ZONES["eh3"]).orphans = 0.0
+        sim.start("eh3", ZONES["eh3"]).orphan_probability = 0.0
         await sim.run(10.0)
         assert sorted(usable_units(sim).values()) == [2, 2, 3]
         # Ten store calls for each of three hosts in each of three groups, one
         # of them the group of the region without hosts.
         assert sim.calls - calls < 90
         for host in sim.hosts.values():
-            host.demand = 0.0
+            host.request_probability = 0.0
         await sim.run(60.0)
         calls = sim.calls
         await sim.run(900.0)
@@ -195,10 +195,10 @@
         start_all(sim)
         await sim.run(10.0)
         host = sim.hosts["eh1"]
-        host.demand = 0.0
+        host.request_probability = 0.0
         # Loans and orphaned requests would outlast the wait of the stop.
         for other in sim.hosts.values():
-            other.demand = 0.0
+            other.request_probability = 0.0
         await sim.run(40.0)
         await stop_host(sim, host)
         assert "eh1" not in stored_units(sim)
@@ -214,7 +214,7 @@
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
         for host in sim.hosts.values():
-            host.demand = host.orphans = 1.0
+            host.request_probability = host.orphan_probability = 1.0
         await sim.run(10.0)
         host = sim.hosts["eh1"]
         host.paused = False
@@ -287,7 +287,7 @@
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         for name in ("eh1", "eh2"):
-            sim.start(name, ZONES[name]).demand = 0.0
+            sim.start(name, ZONES[name]).request_probability = 0.0
         await sim.run(10.0)
         sim.hosts["eh1"].kill()
         await sim.run(3055.0)
@@ -307,7 +307,7 @@
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
         for host in sim.hosts.values():
-            host.demand = 1.0
+            host.request_probability = 1.0
         await sim.run(10.0)
         paused_host = sim.hosts["eh1"]
         paused_host.paused = True
@@ -325,13 +325,13 @@
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
         await sim.run(10.0)
-        sim.store_up = False
+        sim.store_available = False
         sim.set_view(simulation.make_view(3, 5))
         await sim.run(5.0)
         assert 0 < sum(usable_units(sim).values()) <= 3
         await sim.run(20.0)
         assert not usable_units(sim)
-        sim.store_up = True
+        sim.store_available = True
         await sim.run(10.0)
         assert sum(usable_units(sim).values()) == 3
 
@@ -344,7 +344,7 @@
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         host = sim.start("eh1", ZONES["eh1"])
         # No requests, since units in use could not be given back.
-        host.demand = 0.0
+        host.request_probability = 0.0
         await sim.run(10.0)
         assert usable_units(sim) == {"eh1": 7}
         sim.write_delay_s = 4.0
@@ -377,7 +377,7 @@
 
         def start(name: str) -> simulation.Host:
             host = sim.start(name, ZONES[name])
-            host.demand = 0.0
+            host.request_probability = 0.0
             host.keeper.store = store_standin.FakeObjectStore(
                 core=core, timer=host.timer
             )
