--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -1,4 +1,4 @@
-"""Run the admission core on a manual clock with simulated servers."""
+"""Simulate admission with a manual clock and simulated servers."""
 
 import asyncio
 import collections
@@ -33,15 +33,15 @@
 NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
-class FakeLoans(ports.UnitBorrower):
-    """Hold bundles that a test lends, and record what is wanted."""
+class FakeBorrower(ports.UnitBorrower):
+    """Return bundles that a test provides, and record what is requested."""
 
     def __init__(self) -> None:
         self.on_free: list[Callable[[], None]] = []
-        self.wanted: list[tuple[str, str, int]] = []
-        self.wanted_units: dict[str, int] = {}
+        self.requested_bundles: list[tuple[str, str, int]] = []
+        self.requested_units: dict[str, int] = {}
         self.permits: list[model.Permit] = []
-        self.ended: list[model.Permit] = []
+        self.ended_permits: list[model.Permit] = []
 
     def request_bundles(
         self,
@@ -52,12 +52,12 @@
         body_bytes: int,  # noqa: ARG002
         count: int,
     ) -> None:
-        """Record the wish."""
-        self.wanted.append((work, region, count))
+        """Record the requested bundles."""
+        self.requested_bundles.append((work, region, count))
 
     def request_units(self, *, key: str, needed: int) -> None:
-        """Record the wish."""
-        self.wanted_units[key] = needed
+        """Record the requested units."""
+        self.requested_units[key] = needed
 
     def take(
         self,
@@ -67,7 +67,7 @@
         home_region: str,  # noqa: ARG002
         body_bytes: int,  # noqa: ARG002
     ) -> model.Permit | None:
-        """Return a lent bundle for the region."""
+        """Return a permit for the region, if a test provided one."""
         for permit in self.permits:
             if permit.bundle.region == region:
                 self.permits.remove(permit)
@@ -81,22 +81,22 @@
         ended: model.PermitEnd,  # noqa: ARG002
         deadline_at_s: float,  # noqa: ARG002
     ) -> None:
-        """Make the bundle available again, as for the next request."""
-        self.ended.append(permit)
+        """Record the end and make the bundle available again."""
+        self.ended_permits.append(permit)
         self.permits.append(permit)
         for callback in self.on_free:
             callback()
 
 
 class Catalogue:
-    """Hold a view where the catalogue state would."""
+    """Provide a fixed view in place of the catalogue state."""
 
     def __init__(self, view: catalogue_view.CatalogueView) -> None:
         self.view = view
 
 
 class Harness:
-    """Wire one entry host's admission with real ledger and planner."""
+    """Connect one entry host's admission to a real ledger and planner."""
 
     def __init__(
         self,
@@ -122,10 +122,10 @@
                 if limit.group.startswith("link/")
             }
         for group in groups:
-            self.seat(group)
+            self.allot_seat(group)
         self.health = steering_health.ServerHealth(timer=self.timer)
-        self.loans = FakeLoans()
-        borrower: ports.UnitBorrower = self.loans
+        self.fake_borrower = FakeBorrower()
+        borrower: ports.UnitBorrower = self.fake_borrower
         if mesh is not None:
             borrower = loans.Borrower(
                 ledger=self.ledger,
@@ -148,9 +148,9 @@
             timer=self.timer,
             metrics=registry.Metrics(),
         )
-        self.numbers = iter(range(10**9))
+        self.request_ids = iter(range(10**9))
 
-    def seat(self, group: str) -> None:
+    def allot_seat(self, group: str) -> None:
         """Allot all units of a group to this host."""
         units = {
             key: limit.limit
@@ -170,9 +170,9 @@
         deadline_s: float = 10.0,
         body: bytes = b"",
     ) -> core.CallerRequest:
-        """Return a request with its deadline from now on."""
+        """Return a request whose deadline counts from now, in seconds."""
         return core.CallerRequest(
-            request_id=str(next(self.numbers)),
+            request_id=str(next(self.request_ids)),
             work=work or WORK_OF_RANK[rank],
             rank=rank,
             method="POST",
@@ -191,13 +191,13 @@
         *,
         excluded: frozenset[str] = NONE_EXCLUDED,
     ) -> "asyncio.Task[Outcome]":
-        """Start to admit a request."""
+        """Start a task that admits a request."""
         return asyncio.ensure_future(
             self.admission.admit(request, excluded=excluded)
         )
 
     async def admit(self, request: core.CallerRequest) -> Outcome | None:
-        """Return the immediate outcome, None while the request queues."""
+        """Return the immediate outcome, None if the request is queued."""
         task = self.submit(request)
         await settle()
         return task.result() if task.done() else None
@@ -205,7 +205,7 @@
     async def fill(
         self, count: int, rank: core.Rank = core.Rank.INTERACTIVE
     ) -> list[tuple[core.CallerRequest, model.Permit]]:
-        """Admit requests at once, which must all find room."""
+        """Admit requests, all of which must be admitted without queueing."""
         filled = []
         for _ in range(count):
             request = self.request(rank)
@@ -226,13 +226,13 @@
         )
 
     async def advance(self, seconds: float, *, step_s: float = 0.02) -> None:
-        """Move the clock in steps and let tasks run after each."""
+        """Advance the clock in steps and run the ready tasks after each."""
         for _ in range(max(1, round(seconds / step_s))):
             self.timer.advance(step_s)
             await settle()
 
-    def kill(self, region: str) -> None:
-        """Let every server of a region refuse connections."""
+    def fail_region(self, region: str) -> None:
+        """Mark every server of a region as refusing connections."""
         for server in self.catalogue.view.servers.values():
             if server.zone.region != region:
                 continue
@@ -245,7 +245,7 @@
 
 
 async def settle() -> None:
-    """Let the tasks that are ready run."""
+    """Run the tasks that are ready."""
     for _ in range(4):
         await asyncio.sleep(0)
 
@@ -259,10 +259,10 @@
 
 
 class Load(NamedTuple):
-    """Offer requests of one rank at random times."""
+    """Describe requests of one rank that arrive at random times."""
 
     rank: core.Rank
-    per_s: float
+    rate_per_s: float
     service_s: float
     deadline_s: float
 
@@ -270,29 +270,29 @@
 def arrivals(
     loads: tuple[Load, ...], *, duration_s: float, rng: random.Random
 ) -> list[tuple[float, Load]]:
-    """Return Poisson arrivals in order of time."""
-    found = []
+    """Return Poisson arrivals, ordered by time."""
+    events = []
     for load in loads:
-        at_s = rng.expovariate(load.per_s)
-        while at_s < duration_s:
-            found.append((at_s, load))
-            at_s += rng.expovariate(load.per_s)
-    return sorted(found, key=lambda item: item[0])
+        arrival_s = rng.expovariate(load.rate_per_s)
+        while arrival_s < duration_s:
+            events.append((arrival_s, load))
+            arrival_s += rng.expovariate(load.rate_per_s)
+    return sorted(events, key=lambda event: event[0])
 
 
 def summarize(
     offered: list[tuple[float, Load]],
     served: dict[core.Rank, list[float]],
 ) -> dict[core.Rank, Counts]:
-    """Count by rank; latencies are from arrival to answer."""
+    """Return counts by rank; latencies are from arrival to answer."""
     counts = {}
     for rank in core.Rank:
         latencies = sorted(served.get(rank, []))
-        place = math.ceil(0.99 * len(latencies)) - 1
+        p99_index = math.ceil(0.99 * len(latencies)) - 1
         counts[rank] = Counts(
             offered=sum(load.rank is rank for _, load in offered),
             served=len(latencies),
-            p99_s=latencies[place] if latencies else math.inf,
+            p99_s=latencies[p99_index] if latencies else math.inf,
         )
     return counts
 
@@ -300,9 +300,10 @@
 async def simulate(
     loads: tuple[Load, ...], *, duration_s: float, seed: int
 ) -> dict[core.Rank, Counts]:
-    """Offer loads to one region's twelve slots through the admission core.
+    """Send the loads through admission to one region with twelve slots.
 
-    Served are the answers before the deadline and the end of the run.
+    Requests count as served if they are answered before their deadline and
+    before the end of the run.
     """
     harness = Harness(seed=seed)
     rng = random.Random(seed)
@@ -310,9 +311,9 @@
     start_s = harness.timer.monotonic()
     served: dict[core.Rank, list[float]] = {rank: [] for rank in core.Rank}
 
-    async def run(load: Load) -> None:
+    async def run_request(load: Load) -> None:
         request = harness.request(load.rank, deadline_s=load.deadline_s)
-        came_s = harness.timer.monotonic()
+        arrived_at_s = harness.timer.monotonic()
         outcome = await harness.admission.admit(
             request, excluded=NONE_EXCLUDED
         )
@@ -325,20 +326,20 @@
         harness.finish(request, permit)
         in_run = end_s <= start_s + duration_s
         if in_run and end_s <= request.deadline_at_s:
-            served[load.rank].append(end_s - came_s)
+            served[load.rank].append(end_s - arrived_at_s)
 
     tasks = []
-    for at_s, load in offered:
-        while harness.timer.monotonic() < start_s + at_s:
-            left_s = start_s + at_s - harness.timer.monotonic()
+    for arrival_s, load in offered:
+        while harness.timer.monotonic() < start_s + arrival_s:
+            advance_s = start_s + arrival_s - harness.timer.monotonic()
             pending = harness.timer.pending
             if pending:
-                next_s = pending[0][0] - harness.timer.monotonic()
-                # A step of nothing would not move past the arrival.
-                left_s = min(left_s, max(1e-9, next_s))
-            harness.timer.advance(left_s)
+                next_timer_s = pending[0][0] - harness.timer.monotonic()
+                # A step of zero would never reach the arrival.
+                advance_s = min(advance_s, max(1e-9, next_timer_s))
+            harness.timer.advance(advance_s)
             await settle()
-        tasks.append(asyncio.ensure_future(run(load)))
+        tasks.append(asyncio.ensure_future(run_request(load)))
         await asyncio.sleep(0)
     await harness.advance(12.0)
     for task in tasks:
@@ -346,36 +347,36 @@
     return summarize(offered, served)
 
 
-def first_come(
+def simulate_first_come(
     loads: tuple[Load, ...], *, duration_s: float, seed: int, slots: int = 12
 ) -> dict[core.Rank, Counts]:
-    """Offer the same loads to one bounded first-come-first-served queue."""
+    """Send the same loads to one bounded first-come-first-served queue."""
     rng = random.Random(seed)
     offered = arrivals(loads, duration_s=duration_s, rng=rng)
     served: dict[core.Rank, list[float]] = {rank: [] for rank in core.Rank}
-    ends: list[float] = []
-    waiting: collections.deque[tuple[float, Load]] = collections.deque()
-
-    def start(at_s: float, came_s: float, load: Load) -> None:
-        end_s = at_s + load.service_s * rng.uniform(0.5, 1.5)
-        heapq.heappush(ends, end_s)
-        if end_s <= min(duration_s, came_s + load.deadline_s):
-            served[load.rank].append(end_s - came_s)
-
-    def run_until(at_s: float) -> None:
-        while ends and ends[0] <= at_s:
-            free_s = heapq.heappop(ends)
-            while waiting:
-                came_s, queued = waiting.popleft()
-                if free_s - came_s < queued.deadline_s:
-                    start(free_s, came_s, queued)
+    end_times: list[float] = []
+    queue: collections.deque[tuple[float, Load]] = collections.deque()
+
+    def start(started_at_s: float, arrived_at_s: float, load: Load) -> None:
+        end_s = started_at_s + load.service_s * rng.uniform(0.5, 1.5)
+        heapq.heappush(end_times, end_s)
+        if end_s <= min(duration_s, arrived_at_s + load.deadline_s):
+            served[load.rank].append(end_s - arrived_at_s)
+
+    def run_until(until_s: float) -> None:
+        while end_times and end_times[0] <= until_s:
+            freed_at_s = heapq.heappop(end_times)
+            while queue:
+                arrived_at_s, queued = queue.popleft()
+                if freed_at_s - arrived_at_s < queued.deadline_s:
+                    start(freed_at_s, arrived_at_s, queued)
                     break
 
-    for at_s, load in offered:
-        run_until(at_s)
-        if len(ends) < slots:
-            start(at_s, at_s, load)
-        elif len(waiting) < 1536:
-            waiting.append((at_s, load))
+    for arrival_s, load in offered:
+        run_until(arrival_s)
+        if len(end_times) < slots:
+            start(arrival_s, arrival_s, load)
+        elif len(queue) < 1536:
+            queue.append((arrival_s, load))
     run_until(duration_s)
     return summarize(offered, served)
--- a/standins/simulation/steering.py
+++ b/standins/simulation/steering.py
@@ -1,4 +1,4 @@
-"""Stand in for the mesh and the token issuer."""
+"""Provide fakes of the peer mesh and the run token issuer."""
 
 from returns.result import Failure
 from returns.result import Result
@@ -11,17 +11,18 @@
 
 
 class FakeMesh(mesh.PeerMesh):
-    """Show the peers whose heartbeats a test sets."""
+    """Return peers with the heartbeats that a test sets."""
 
     def __init__(self, *, timer: timer_helper.TimerService) -> None:
         self.timer = timer
         self.heartbeats: list[model.Heartbeat] = []
 
     def live_peers(self) -> tuple[model.PeerView, ...]:
-        """Return all peers as heard now."""
+        """Return all peers as if their heartbeats had just been received."""
         now = self.timer.monotonic()
         return tuple(
-            model.PeerView(beat, now, True) for beat in self.heartbeats
+            model.PeerView(heartbeat, now, True)
+            for heartbeat in self.heartbeats
         )
 
     async def request(
@@ -31,7 +32,7 @@
         *,
         timeout_s: float,  # noqa: ARG002
     ) -> Result[model.Message, result_codes.Refusal]:
-        """Reach nobody."""
+        """Fail, since no peer can be reached."""
         return Failure(
             result_codes.Refusal(
                 result_codes.ResultCode.PEER_UNREACHABLE, host
@@ -39,17 +40,17 @@
         )
 
     def send(self, host: str, message: model.Message) -> None:
-        """Send nothing."""
+        """Discard the message."""
 
     def broadcast(self, message: model.Message) -> None:
-        """Send nothing."""
+        """Discard the message."""
 
     def set_handler(self, kind: type, handler: mesh.Handler) -> None:
-        """Call nothing."""
+        """Ignore the handler, since no messages arrive."""
 
 
 class FakeIssuer:
-    """Number the tokens."""
+    """Issue numbered run tokens."""
 
     def __init__(self) -> None:
         self.issued = 0
@@ -62,7 +63,7 @@
         home_region: str,
         clock_ms: int,
     ) -> str:
-        """Return a token that differs from all before."""
+        """Return a token that differs from all previous ones."""
         self.issued += 1
         return (
             f"{work}/{host.incarnation}/{home_region}/{clock_ms}/{self.issued}"
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -127,7 +127,7 @@
             "work:case-status@tallinn"
         ]._replace(limit=1)
         harness.ledger.set_limits(harness.limits)
-        harness.seat("region/tallinn")
+        harness.allot_seat("region/tallinn")
         work = harness.catalogue.view.works["case-status"]
         other = work.copy()
         other["name"] = "case-lookup"
@@ -137,7 +137,7 @@
             "work:case-export@tallinn"
         ]._replace(key=key)
         harness.ledger.set_limits(harness.limits)
-        harness.seat("region/tallinn")
+        harness.allot_seat("region/tallinn")
         await harness.fill(1)
         over_limit = harness.submit(harness.request(INTERACTIVE))
         other_request = harness.submit(
@@ -173,7 +173,7 @@
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
-        harness.kill("tallinn")
+        harness.fail_region("tallinn")
         tasks = [
             harness.submit(harness.request(EXPORT, deadline_s=2.0))
             for _ in range(30)
@@ -213,7 +213,7 @@
         request = harness.request(URGENT)
         if condition == "no_servers":
             for region in ("tallinn", "tartu", "parnu"):
-                harness.kill(region)
+                harness.fail_region(region)
         if condition == "late":
             request = request._replace(deadline_at_s=harness.timer.now_s)
         queued = []
@@ -250,12 +250,12 @@
         )
         bundle = quota_model.Bundle("tallinn", server, ())
         permit = model.Permit(1, bundle, model.PermitSource.LOAN)
-        harness.loans.permits.append(permit)
+        harness.fake_borrower.permits.append(permit)
         task = harness.submit(harness.request())
         await simulation.settle()
         assert not task.done()
-        assert harness.loans.ended
-        assert harness.loans.wanted
+        assert harness.fake_borrower.ended_permits
+        assert harness.fake_borrower.requested_bundles
         task.cancel()
 
     run(test())
--- a/tests/components/admission/test_flood.py
+++ b/tests/components/admission/test_flood.py
@@ -48,7 +48,7 @@
             assert capacity_fraction(counts[rank]) > 0.09
         total = sum(map(capacity_fraction, counts.values()))
         assert total > 0.9
-        baseline = simulation.first_come(
+        baseline = simulation.simulate_first_come(
             loads, duration_s=DURATION_S, seed=seed
         )
         assert total > sum(map(capacity_fraction, baseline.values()))
