--- a/src/samphirelug/components/admission/const.py
+++ b/src/samphirelug/components/admission/const.py
@@ -20,7 +20,7 @@
 LOAN_TIMEOUT_S = 0.25
 # Minimum interval between two requests for loans for the same flow.
 LOAN_REQUEST_INTERVAL_S = 0.05
-# Link bytes are reserved for a request that has been queued for longer.
+# Link bytes are to be reserved for a request that has been queued for longer.
 LINK_RESERVATION_AFTER_S = 0.5
 # Maximum service margin, the time before its deadline at which a queued
 # request must be dispatched, as a fraction of its work entry's deadline.
@@ -35,7 +35,7 @@
 SERVICE_TIME_DEFAULT_S = 0.05
 # Weight of the newest observation in the average service time.
 SERVICE_TIME_WEIGHT = 0.1
-# Most requests end within the mean plus this many mean deviations.
+# Most requests end within the mean plus this many mean absolute deviations.
 SERVICE_TIME_DEVIATIONS = 2.0
 # Time constant of the decay of measured dispatch rates. Dispatches older than
 # a few times this hardly count.
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -106,8 +106,8 @@
         self.active_permits: dict[
             tuple[model.PermitSource, int], ActivePermit
         ] = {}
-        # Pairs of service and home region of which this host has no share, and
-        # for which no loan was received in time.
+        # Pairs of service and home region for which this host depends on loans
+        # and received none in time.
         self.loan_timeouts: set[tuple[str, str]] = set()
         self.loan_ids = itertools.count(1)
         self.loan_arrivals = 0
@@ -290,7 +290,7 @@
                     view, work, request, loan_id, bundle_number, duration_s
                 )
                 if bundle is None and bundle_number == 1:
-                    # Borrowed units expire sooner than own ones.
+                    # The units may be borrowed themselves and expire sooner.
                     duration_s /= 2.0
                     bundle = self._lend_bundle(
                         view, work, request, loan_id, bundle_number, duration_s
@@ -624,12 +624,12 @@
         self.ledger.release_at(permit.hold_id, ends_at_s)
 
     def _release_unused(
-        self, admission: queue.AdmissionResult, request: core.CallerRequest
+        self, result: queue.AdmissionResult, request: core.CallerRequest
     ) -> None:
         """End a permit whose request was cancelled before it was sent."""
-        if isinstance(admission, Success):
+        if isinstance(result, Success):
             self.finish(
-                admission.unwrap(),
+                result.unwrap(),
                 ended=model.PermitEnd.COMPLETE,
                 request=request,
                 answer_bytes=0,
@@ -720,7 +720,7 @@
         return reservation[1]
 
     def _reserve_link_bytes(self, now: float) -> None:
-        """Reserve link bytes for requests that need many at once.
+        """Record reservations of link bytes for requests that need many.
 
         Without a reservation, requests with small bodies and answers would
         take the bytes as they become free, and a large one would never be
--- a/src/samphirelug/components/admission/estimate.py
+++ b/src/samphirelug/components/admission/estimate.py
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.service_times: dict[str, float] = {}
-        # Mean service time of each work entry, and its mean deviation.
+        # Mean and mean absolute deviation of the service time, by work entry.
         self.work_service_times: dict[str, tuple[float, float]] = {}
         # Dispatch rates by rank, for each service and home region.
         self.rates: dict[tuple[str, str], list[DecayingRate]] = {}
