--- a/src/samphirelug/components/http/handler.py
+++ b/src/samphirelug/components/http/handler.py
@@ -31,16 +31,20 @@
         self.forwarder = forwarder
         self.names = names
 
-    def may_overlap(self, message: request_parser.CallerMessage) -> bool:
+    def may_run_concurrently(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Tell whether the request may run more than once."""
         route = self.forwarder.find_route(
             hostname=_hostname(message), target=message.target
         )
         return route is not None and route.idempotent
 
-    def ends_with_caller(self, message: request_parser.CallerMessage) -> bool:
+    def cancel_on_disconnect(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Tell whether nothing is lost when the request is cancelled."""
-        return self.may_overlap(message)
+        return self.may_run_concurrently(message)
 
     async def handle(
         self, message: request_parser.CallerMessage
--- a/src/samphirelug/components/http/io_pipeline.py
+++ b/src/samphirelug/components/http/io_pipeline.py
@@ -32,11 +32,15 @@
     """Answer the requests of callers."""
 
     @abc.abstractmethod
-    def may_overlap(self, message: request_parser.CallerMessage) -> bool:
+    def may_run_concurrently(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Tell whether to start before earlier requests are answered."""
 
     @abc.abstractmethod
-    def ends_with_caller(self, message: request_parser.CallerMessage) -> bool:
+    def cancel_on_disconnect(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Tell whether to cancel the request when its caller leaves."""
 
     @abc.abstractmethod
@@ -139,7 +143,7 @@
         for index, pending in enumerate(self.pending):
             if pending.task is not None:
                 continue
-            if index and not handler.may_overlap(pending.message):
+            if index and not handler.may_run_concurrently(pending.message):
                 # Runs only when no earlier response can close the
                 # connection and make the caller send the request again.
                 break
@@ -219,7 +223,7 @@
             task = pending.task
             if task is None:
                 continue
-            if handler.ends_with_caller(pending.message):
+            if handler.cancel_on_disconnect(pending.message):
                 task.cancel()
             else:
                 self.listener.detach(task)
--- a/src/samphirelug/components/http/io_pool.py
+++ b/src/samphirelug/components/http/io_pool.py
@@ -199,8 +199,8 @@
     ) -> response_parser.ParsedResponse:
         """Return the answer to this request; skip answers to others."""
         while True:
-            while parser.whole:
-                response = parser.whole.popleft()
+            while parser.completed:
+                response = parser.completed.popleft()
                 answered = response.get(self.names.request_id)
                 if answered in (None, attempt.request.request_id):
                     return response
--- a/src/samphirelug/components/http/response_parser.py
+++ b/src/samphirelug/components/http/response_parser.py
@@ -55,7 +55,7 @@
     def __init__(self, *, is_head: bool) -> None:
         self.is_head = is_head
         self.parser = httptools.HttpResponseParser(self)
-        self.whole: collections.deque[ParsedResponse] = collections.deque()
+        self.completed: collections.deque[ParsedResponse] = collections.deque()
         self.current: ParsedResponse | None = None
         # Why the bytes received are no response; further ones are ignored.
         self.error = ""
@@ -76,14 +76,14 @@
             return False
         if not response.ends_with_connection:
             return False
-        self.whole.append(response)
+        self.completed.append(response)
         self.current = None
         return True
 
     @property
     def is_at_boundary(self) -> bool:
         """Return whether nothing is left over on the connection."""
-        return not self.error and not self.whole and self.current is None
+        return not self.error and not self.completed and self.current is None
 
     # Callbacks of the parser
 
@@ -109,7 +109,7 @@
         self.current.has_headers = True
         self.current.status = int(self.parser.get_status_code())
         if self.is_head and self.current.status >= FIRST_FINAL_STATUS:
-            self.whole.append(self.current)
+            self.completed.append(self.current)
             self.current = None
 
     def on_body(self, body: bytes) -> None:
@@ -127,4 +127,4 @@
         if response is None or response.status < FIRST_FINAL_STATUS:
             return
         response.keep_alive = bool(self.parser.should_keep_alive())
-        self.whole.append(response)
+        self.completed.append(response)
--- a/standins/soak/callers.py
+++ b/standins/soak/callers.py
@@ -102,7 +102,7 @@
                 f"X-Samphirelug-Deadline-Ms: {DEADLINE_MS}\r\n\r\n".encode()
             )
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                while not parser.whole and not parser.error:
+                while not parser.completed and not parser.error:
                     data = await reader.read(65536)
                     if not data:
                         break
@@ -110,7 +110,7 @@
         except (OSError, TimeoutError):
             writer.close()
             self.connection = None
-        response = parser.whole[0] if parser.whole else None
+        response = parser.completed[0] if parser.completed else None
         if response is None or not response.keep_alive:
             writer.close()
             self.connection = None
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -46,12 +46,16 @@
         self.answered_id = ""
         self.left_at_s: float | None = None
 
-    def may_overlap(self, message: request_parser.CallerMessage) -> bool:
+    def may_run_concurrently(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Serve one request at a time on a connection."""
         del message
         return False
 
-    def ends_with_caller(self, message: request_parser.CallerMessage) -> bool:
+    def cancel_on_disconnect(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Drop the request when its connection closes."""
         del message
         return True
--- a/tests/components/http/test_io_pipeline.py
+++ b/tests/components/http/test_io_pipeline.py
@@ -19,11 +19,15 @@
         self.ended: list[str] = []
         self.bodies: list[bytes] = []
 
-    def may_overlap(self, message: request_parser.CallerMessage) -> bool:
+    def may_run_concurrently(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Tell whether the request is a GET."""
         return message.method == "GET"
 
-    def ends_with_caller(self, message: request_parser.CallerMessage) -> bool:
+    def cancel_on_disconnect(
+        self, message: request_parser.CallerMessage
+    ) -> bool:
         """Tell whether the request is a GET."""
         return message.method == "GET"
 
--- a/tests/components/http/test_response_parser.py
+++ b/tests/components/http/test_response_parser.py
@@ -22,7 +22,7 @@
 
 def bodies(parser: response_parser.ResponseParser) -> list[bytes]:
     """Return the bodies of the whole responses."""
-    return [response.body for response in parser.whole]
+    return [response.body for response in parser.completed]
 
 
 @pytest.mark.parametrize("size", [1, 7, 40, 1000])
@@ -46,7 +46,7 @@
 def test_body_without_a_length_is_whole_only_at_an_orderly_end() -> None:
     """Guard against a cut body that looks whole."""
     parser = parse(b"HTTP/1.1 200 OK\r\n\r\nabc")
-    assert not parser.whole
+    assert not parser.completed
     assert parser.end()
     assert bodies(parser) == [b"abc"]
 
@@ -55,4 +55,4 @@
     """Guard against a cut body that looks whole."""
     parser = parse(PLAIN[:-1])
     assert not parser.end()
-    assert not parser.whole
+    assert not parser.completed
