--- a/src/samphirelug/components/commands/catalogue.py
+++ b/src/samphirelug/components/commands/catalogue.py
@@ -34,9 +34,9 @@
 # A command writes one entry after the other; an operator's file may hold a
 # whole catalogue, which must not be held up by the budget of a host.
 COMMAND_LIMITS: Mapping[budget.CallKind, budget.CallLimit] = {
-    budget.CallKind.READ: budget.CallLimit(per_s=20.0, burst=50),
-    budget.CallKind.WRITE: budget.CallLimit(per_s=20.0, burst=50),
-    budget.CallKind.WATCH: budget.CallLimit(per_s=1.0, burst=1),
+    budget.CallKind.READ: budget.CallLimit(calls_per_s=20.0, burst=50),
+    budget.CallKind.WRITE: budget.CallLimit(calls_per_s=20.0, burst=50),
+    budget.CallKind.WATCH: budget.CallLimit(calls_per_s=1.0, burst=1),
 }
 
 app = typer.Typer(
--- a/src/samphirelug/components/store/__init__.py
+++ b/src/samphirelug/components/store/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the platform's object store."""
+"""Access the platform's object store."""
--- a/src/samphirelug/components/store/availability.py
+++ b/src/samphirelug/components/store/availability.py
@@ -1,4 +1,4 @@
-"""Know whether the store answers, for all followers of its objects."""
+"""Track outages of the store for all followers of its objects."""
 
 import asyncio
 import logging
@@ -6,39 +6,45 @@
 from samphirelug.helpers import timer as timer_helper
 
 _LOGGER = logging.getLogger(__name__)
-# An entry that vanished while the store was away is back this long after
-# its return, if its owner lives. The store may have returned just after the
-# last call that failed.
+# Entries can expire during an outage. Owners that still run write them again
+# within this time after its end. It is counted from the last failed call,
+# since the store may have been available right after that.
 OUTAGE_GRACE_S = 2.3
-# An absence that is shorter than this lets no entry lapse.
+# No entry expires during an outage that is shorter than this.
 MIN_OUTAGE_S = 1.0
 
 
 class StoreAvailability:
-    """Let one follower call a store that is away; the others wait."""
+    """Record whether the store answers, for several followers.
+
+    During an outage only the prober, the first follower whose call failed,
+    calls the store. The others wait until it is available again.
+    """
 
     def __init__(self, *, timer: timer_helper.TimerService) -> None:
         self.timer = timer
         self.lost_at_s: float | None = None
-        self.failed_at_s = 0.0
-        # Entries that are missing up to then may still come back.
+        self.last_failure_at_s = 0.0
+        # Until then, entries that expired during the last outage may still be
+        # written again.
         self.grace_until_s = float("-inf")
         self.prober: object | None = None
+        # Set at the end of the current outage, and then replaced.
         self.regained = asyncio.Event()
-        # Grows when the store is back after an outage.
-        self.outages = 0
+        # Number of ended outages that lasted at least MIN_OUTAGE_S.
+        self.outage_count = 0
 
-    def note_failure(self, caller: object, *, detail: str) -> None:
-        """Note a call without an answer."""
-        self.failed_at_s = self.timer.monotonic()
+    def record_failure(self, follower: object, *, detail: str) -> None:
+        """Record a call without an answer; the first one starts an outage."""
+        self.last_failure_at_s = self.timer.monotonic()
         if self.lost_at_s is not None:
             return
-        self.lost_at_s = self.failed_at_s
-        self.prober = caller
+        self.lost_at_s = self.last_failure_at_s
+        self.prober = follower
         _LOGGER.warning("store lost", extra={"detail": detail})
 
-    def note_success(self) -> None:
-        """Note an answer."""
+    def record_success(self) -> None:
+        """Record an answer, which ends an outage."""
         if self.lost_at_s is None:
             return
         now = self.timer.monotonic()
@@ -46,8 +52,8 @@
         self.lost_at_s = None
         self.prober = None
         if away_s >= MIN_OUTAGE_S:
-            self.outages += 1
-            self.grace_until_s = self.failed_at_s + OUTAGE_GRACE_S
+            self.outage_count += 1
+            self.grace_until_s = self.last_failure_at_s + OUTAGE_GRACE_S
         self.regained.set()
         self.regained = asyncio.Event()
         _LOGGER.info(
@@ -58,10 +64,10 @@
             },
         )
 
-    def is_prober(self, caller: object) -> bool:
-        """Tell whether a follower is the one that goes on calling."""
-        return self.prober is caller
+    def is_prober(self, follower: object) -> bool:
+        """Return whether the follower calls the store during the outage."""
+        return self.prober is follower
 
-    def grace_s(self) -> float:
-        """Return how much longer vanished entries may come back."""
+    def grace_remaining_s(self) -> float:
+        """Return how much longer expired entries may be written again."""
         return max(0.0, self.grace_until_s - self.timer.monotonic())
--- a/src/samphirelug/components/store/budget.py
+++ b/src/samphirelug/components/store/budget.py
@@ -1,4 +1,4 @@
-"""Bound the calls that this process makes to the store."""
+"""Limit the rate of calls that this process makes to the store."""
 
 from collections.abc import Mapping
 import enum
@@ -8,7 +8,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """Name the kinds of calls that have a budget of their own."""
+    """Define the kinds of calls, each with its own budget."""
 
     READ = "read"
     WRITE = "write"
@@ -16,18 +16,20 @@
 
 
 class CallLimit(NamedTuple):
-    """Bound the calls of one kind."""
+    """Limit the calls of one kind by a token bucket."""
 
-    per_s: float
+    calls_per_s: float
+    # Capacity of the bucket.
     burst: int
 
 
-# A quiet host makes under one call a second. The bursts cover a start, and
-# the rates keep a host whose calls all fail at once from spinning.
+# An idle host makes less than one call per second. The bursts cover the calls
+# at start-up, and the rates bound the retries of a host whose calls all fail
+# immediately.
 DEFAULT_LIMITS: Mapping[CallKind, CallLimit] = {
-    CallKind.READ: CallLimit(per_s=4.0, burst=20),
-    CallKind.WRITE: CallLimit(per_s=4.0, burst=20),
-    CallKind.WATCH: CallLimit(per_s=4.0, burst=10),
+    CallKind.READ: CallLimit(calls_per_s=4.0, burst=20),
+    CallKind.WRITE: CallLimit(calls_per_s=4.0, burst=20),
+    CallKind.WATCH: CallLimit(calls_per_s=4.0, burst=10),
 }
 
 
@@ -42,20 +44,20 @@
     ) -> None:
         self.timer = timer
         self.limits = limits
-        self.filled_at_s = dict.fromkeys(limits, timer.monotonic())
+        self.refilled_at_s = dict.fromkeys(limits, timer.monotonic())
         self.tokens = {
             kind: float(limit.burst) for kind, limit in limits.items()
         }
 
     def take(self, kind: CallKind) -> float:
-        """Take a call; return 0.0, or the seconds until one is free."""
+        """Take a token; return 0.0, or the seconds until one is available."""
         limit = self.limits[kind]
         now_s = self.timer.monotonic()
-        earned = (now_s - self.filled_at_s[kind]) * limit.per_s
-        self.filled_at_s[kind] = now_s
-        tokens = min(float(limit.burst), self.tokens[kind] + earned)
+        refill = (now_s - self.refilled_at_s[kind]) * limit.calls_per_s
+        self.refilled_at_s[kind] = now_s
+        tokens = min(float(limit.burst), self.tokens[kind] + refill)
         if tokens < 1.0:
             self.tokens[kind] = tokens
-            return (1.0 - tokens) / limit.per_s
+            return (1.0 - tokens) / limit.calls_per_s
         self.tokens[kind] = tokens - 1.0
         return 0.0
--- a/src/samphirelug/components/store/feed.py
+++ b/src/samphirelug/components/store/feed.py
@@ -1,4 +1,4 @@
-"""Define how objects of a kind are listed and followed."""
+"""Define the interface to list, watch and write objects by kind."""
 
 import abc
 import enum
@@ -11,7 +11,7 @@
 
 
 class ObjectKind(enum.StrEnum):
-    """Name the kinds of objects that an entry host uses."""
+    """Define the kinds of objects that an entry host uses."""
 
     CONFIGURATION = "configuration"
     BACKEND_SERVERS = "backend-servers"
@@ -20,20 +20,20 @@
 
 
 class Removal(NamedTuple):
-    """Name an object that is gone."""
+    """Report that an object was removed."""
 
     name: str
 
 
 class Changes(NamedTuple):
-    """Hold changes up to a revision of the whole store, in order."""
+    """Hold the ordered changes up to a revision of the whole store."""
 
     revision: int
     events: tuple[model.StoredObject | Removal, ...]
 
 
 class ObjectFeed(abc.ABC):
-    """List objects of a kind and wait for changes to them.
+    """List, watch and write the objects of a kind.
 
     Calls fail with STORE_UNAVAILABLE when the store did not answer.
     """
@@ -42,13 +42,20 @@
     async def list(
         self, kind: ObjectKind, *, allow_stale: bool = False
     ) -> Result[model.Listing, result_codes.Refusal]:
-        """Return all objects of a kind; a stale list costs less."""
+        """Return all objects of a kind.
+
+        With allow_stale the list may be outdated; it costs the store less.
+        """
 
     @abc.abstractmethod
     async def watch(
         self, kind: ObjectKind, *, after: int, timeout_s: float
     ) -> Result[Changes | None, result_codes.Refusal]:
-        """Wait for changes; None means that this history is gone."""
+        """Wait for changes after a revision.
+
+        Returns no events when timeout_s has passed without a change, and None
+        when the store no longer has the changes since that revision.
+        """
 
     @abc.abstractmethod
     async def put(
@@ -60,4 +67,4 @@
     async def delete(
         self, kind: ObjectKind, name: str
     ) -> Result[None, result_codes.Refusal]:
-        """Remove an object, also if there is none."""
+        """Remove an object; succeeds if there is none."""
--- a/src/samphirelug/components/store/follower.py
+++ b/src/samphirelug/components/store/follower.py
@@ -1,4 +1,4 @@
-"""Follow the objects of a kind through outages of the store."""
+"""List and watch the objects of a kind, across outages of the store."""
 
 import abc
 import asyncio
@@ -17,43 +17,48 @@
 
 _LOGGER = logging.getLogger(__name__)
 WATCH_TIMEOUT_S = 25.0
-# Wait of the watch that finds out whether the store is back.
-PROBE_WATCH_S = 0.05
-# The store is back in use well within the time in which a host that was cut
-# off from it has to know again which servers have left.
-BACKOFF_FIRST_S = 0.1
-BACKOFF_MAX_S = 0.3
-# Gathers changes that come in quick succession into one call. With 250
-# servers that register, each host would otherwise call for each of them.
+# Timeout of the watches that check whether the store is available again.
+PROBE_WATCH_TIMEOUT_S = 0.05
+# A host that was cut off from the store has a limited time to learn which
+# servers have left. Calling again after these delays takes only a small part
+# of it.
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.3
+# Pause after received changes, so that changes in quick succession arrive in
+# one call. Otherwise, when 250 servers register, each host would make a call
+# for each of them.
 PAUSE_AFTER_CHANGE_S = 0.4
 
 WatchResult = Result[store_feed.Changes | None, result_codes.Refusal]
 
 
 class ObjectConsumer(abc.ABC):
-    """Take over what is learned of the objects of a kind.
+    """Receive the objects of a kind and their changes.
 
-    Objects that vanish with a grace above 0 may still come back, since the
-    store was away.
+    Objects that are missing or removed with a grace period above 0 may have
+    expired because of an outage of the store, and may be written again.
     """
 
     @abc.abstractmethod
     def replace_all(
         self, objects: Sequence[model.StoredObject], *, grace_s: float
     ) -> None:
-        """Take over a complete list."""
+        """Apply a complete list of objects."""
 
     @abc.abstractmethod
     def upsert(self, stored: model.StoredObject) -> None:
-        """Take over a new or changed object."""
+        """Apply a new or changed object."""
 
     @abc.abstractmethod
     def remove(self, name: str, *, grace_s: float) -> None:
-        """Note that an object is gone."""
+        """Apply the removal of an object."""
 
 
 class ObjectFollower:
-    """List once, then watch; list again when history is gone."""
+    """Keep a consumer up to date: list the objects, then watch them.
+
+    Lists again when the store cannot continue from the last revision.
+    """
 
     def __init__(
         self,
@@ -64,7 +69,7 @@
         availability: store_availability.StoreAvailability,
         timer: timer_helper.TimerService,
         rng: random.Random,
-        pause_s: float = PAUSE_AFTER_CHANGE_S,
+        pause_after_change_s: float = PAUSE_AFTER_CHANGE_S,
     ) -> None:
         self.kind = kind
         self.feed = feed
@@ -72,12 +77,12 @@
         self.availability = availability
         self.timer = timer
         self.rng = rng
-        self.pause_s = pause_s
+        self.pause_after_change_s = pause_after_change_s
         self.revision = 0
-        self.backoff_s = BACKOFF_FIRST_S
+        self.backoff_s = INITIAL_BACKOFF_S
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """List and watch until cancelled."""
         while True:
             if not await self._list():
                 continue
@@ -87,13 +92,13 @@
     async def _list(self) -> bool:
         answer = await self.feed.list(self.kind)
         if isinstance(answer, Failure):
-            await self._fail(answer.failure().detail)
+            await self._handle_failure(answer.failure().detail)
             return False
-        self._succeed()
+        self._handle_success()
         listing = answer.unwrap()
         if listing.revision < self.revision:
             _LOGGER.warning(
-                "ignored an older list",
+                "ignoring a list older than the known revision",
                 extra={
                     "kind": self.kind,
                     "revision": listing.revision,
@@ -104,23 +109,23 @@
             return False
         self.revision = listing.revision
         self.consumer.replace_all(
-            listing.objects, grace_s=self.availability.grace_s()
+            listing.objects, grace_s=self.availability.grace_remaining_s()
         )
         return True
 
     async def _watch(self) -> bool:
-        """Take over the next changes; false means to list again."""
-        answer = await self._watch_through_outages()
+        """Apply the next changes; return False if a new list is needed."""
+        answer = await self._watch_until_outage_ends()
         if answer is None:
             return True
         if isinstance(answer, Failure):
-            await self._fail(answer.failure().detail)
+            await self._handle_failure(answer.failure().detail)
             return True
-        self._succeed()
+        self._handle_success()
         changes = answer.unwrap()
         if changes is None or changes.revision < self.revision:
             _LOGGER.info(
-                "the store's history is gone, listing again",
+                "store cannot continue from the known revision, listing again",
                 extra={"kind": self.kind, "revision": self.revision},
             )
             return False
@@ -128,49 +133,53 @@
         for event in changes.events:
             if isinstance(event, store_feed.Removal):
                 self.consumer.remove(
-                    event.name, grace_s=self.availability.grace_s()
+                    event.name, grace_s=self.availability.grace_remaining_s()
                 )
             else:
                 self.consumer.upsert(event)
         if changes.events:
-            await self.timer.sleep(self.pause_s)
+            await self.timer.sleep(self.pause_after_change_s)
         return True
 
-    async def _watch_through_outages(self) -> WatchResult | None:
-        """Return the watch's result, None if an outage has ended.
+    async def _watch_until_outage_ends(self) -> WatchResult | None:
+        """Return the result of a watch, or None if an outage ended meanwhile.
 
-        A connection that outlived an outage may be silent for good.
+        A connection that was open during an outage may never carry data
+        again, so the watch is abandoned.
         """
-        outages = self.availability.outages
-        # A long watch at a store that is back would not show that it is.
-        away = self.availability.lost_at_s is not None
-        watching = asyncio.ensure_future(
+        outage_count = self.availability.outage_count
+        # During an outage a long watch without changes would delay the
+        # discovery that the store is available again.
+        unavailable = self.availability.lost_at_s is not None
+        watch_task = asyncio.ensure_future(
             self.feed.watch(
                 self.kind,
                 after=self.revision,
-                timeout_s=PROBE_WATCH_S if away else WATCH_TIMEOUT_S,
+                timeout_s=PROBE_WATCH_TIMEOUT_S
+                if unavailable
+                else WATCH_TIMEOUT_S,
             )
         )
         try:
-            while not watching.done():
-                regained = asyncio.ensure_future(
+            while not watch_task.done():
+                regained_task = asyncio.ensure_future(
                     self.availability.regained.wait()
                 )
                 try:
                     await asyncio.wait(
-                        (watching, regained),
+                        (watch_task, regained_task),
                         return_when=asyncio.FIRST_COMPLETED,
                     )
                 finally:
-                    regained.cancel()
-                if self.availability.outages != outages:
+                    regained_task.cancel()
+                if self.availability.outage_count != outage_count:
                     break
-            return watching.result() if watching.done() else None
+            return watch_task.result() if watch_task.done() else None
         finally:
-            watching.cancel()
+            watch_task.cancel()
 
-    async def _fail(self, detail: str) -> None:
-        self.availability.note_failure(self, detail=detail)
+    async def _handle_failure(self, detail: str) -> None:
+        self.availability.record_failure(self, detail=detail)
         if self.availability.is_prober(self):
             await self._back_off()
         elif self.availability.lost_at_s is not None:
@@ -178,8 +187,8 @@
 
     async def _back_off(self) -> None:
         await self.timer.sleep(self.backoff_s * self.rng.uniform(0.5, 1.0))
-        self.backoff_s = min(BACKOFF_MAX_S, 2 * self.backoff_s)
+        self.backoff_s = min(MAX_BACKOFF_S, 2 * self.backoff_s)
 
-    def _succeed(self) -> None:
-        self.backoff_s = BACKOFF_FIRST_S
-        self.availability.note_success()
+    def _handle_success(self) -> None:
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.availability.record_success()
--- a/src/samphirelug/components/store/io_http_store.py
+++ b/src/samphirelug/components/store/io_http_store.py
@@ -1,4 +1,4 @@
-"""Reach the object store over HTTP."""
+"""Access the object store over HTTP."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -19,7 +19,7 @@
 from samphirelug import const
 from samphirelug import result_codes
 
-Found = TypeVar("Found")
+Value = TypeVar("Value")
 ObjectResult = Result[model.StoredObject, result_codes.Refusal]
 ListingResult = Result[model.Listing, result_codes.Refusal]
 
@@ -28,7 +28,7 @@
 
 
 class HttpObjectStore(object_store.ObjectStore):
-    """Classify every outcome of a call to the store."""
+    """Call the store and map every outcome of a call to a result code."""
 
     def __init__(
         self,
@@ -50,33 +50,34 @@
         self.transport.close()
 
     async def get(self, key: str) -> ObjectResult:
-        """Return an object; OBJECT_NOT_FOUND where there is none."""
-        empty = self._take(store_budget.CallKind.READ, "get")
-        if empty is not None:
-            return Failure(empty)
+        """Return an object; fails with OBJECT_NOT_FOUND if there is none."""
+        refusal = self._check_budget(store_budget.CallKind.READ, "get")
+        if refusal is not None:
+            return Failure(refusal)
         reply = await self.transport.call(
             "GET", _object_path(key), timeout_s=self.timeouts.request_s
         )
-        return self._count("get", _read_object(reply, key))
+        return self._record_outcome("get", _read_object(reply, key))
 
     async def list(self, prefix: str) -> ListingResult:
         """Return the objects whose keys start with the prefix."""
-        empty = self._take(store_budget.CallKind.READ, "list")
-        if empty is not None:
-            return Failure(empty)
+        refusal = self._check_budget(store_budget.CallKind.READ, "list")
+        if refusal is not None:
+            return Failure(refusal)
         query = urllib.parse.urlencode({"prefix": prefix})
         reply = await self.transport.call(
             "GET", f"/v1/objects?{query}", timeout_s=self.timeouts.list_s
         )
-        return self._count("list", _read_listing(reply))
+        return self._record_outcome("list", _read_listing(reply))
 
     async def put(
         self, key: str, value: Mapping[str, Any], *, expected_revision: int
     ) -> ObjectResult:
-        """Write if the object still has the revision; 0 creates it.
+        """Write an object if it has the expected revision; 0 creates it.
 
-        Fails with STORE_CONFLICT when it has another, and with
-        STORE_OUTCOME_UNKNOWN when the answer was lost after sending.
+        Fails with STORE_CONFLICT when it has another revision, and with
+        STORE_OUTCOME_UNKNOWN when the request may have been sent but no valid
+        answer was received.
         """
         body = orjson.dumps(value)
         if len(body) > const.MAX_OBJECT_BYTES:
@@ -87,9 +88,9 @@
                     f" limit of {const.MAX_OBJECT_BYTES}",
                 )
             )
-        empty = self._take(store_budget.CallKind.WRITE, "put")
-        if empty is not None:
-            return Failure(empty)
+        refusal = self._check_budget(store_budget.CallKind.WRITE, "put")
+        if refusal is not None:
+            return Failure(refusal)
         reply = await self.transport.call(
             "PUT",
             _object_path(key),
@@ -100,18 +101,18 @@
                 "Content-Type": "application/json",
             },
         )
-        return self._count("put", _read_put(reply, key))
+        return self._record_outcome("put", _read_put(reply, key))
 
     async def watch(
         self, prefix: str, *, after: int, timeout_s: float
     ) -> ListingResult:
-        """Wait for objects with a revision above after.
+        """Wait for objects with a revision higher than after.
 
         Returns an empty listing when timeout_s has passed without any.
         """
-        empty = self._take(store_budget.CallKind.WATCH, "watch")
-        if empty is not None:
-            return Failure(empty)
+        refusal = self._check_budget(store_budget.CallKind.WATCH, "watch")
+        if refusal is not None:
+            return Failure(refusal)
         query = urllib.parse.urlencode(
             {"prefix": prefix, "after": after, "timeout_s": timeout_s}
         )
@@ -120,9 +121,9 @@
             f"/v1/watch?{query}",
             timeout_s=timeout_s + self.timeouts.request_s,
         )
-        return self._count("watch", _read_listing(reply))
+        return self._record_outcome("watch", _read_listing(reply))
 
-    def _take(
+    def _check_budget(
         self, kind: store_budget.CallKind, call: str
     ) -> result_codes.Refusal | None:
         wait_s = self.budget.take(kind)
@@ -133,12 +134,12 @@
             f"the budget of {kind} calls to the store is used up",
             wait_s,
         )
-        self._count(call, Failure(refusal))
+        self._record_outcome(call, Failure(refusal))
         return refusal
 
-    def _count(
-        self, call: str, result: Result[Found, result_codes.Refusal]
-    ) -> Result[Found, result_codes.Refusal]:
+    def _record_outcome(
+        self, call: str, result: Result[Value, result_codes.Refusal]
+    ) -> Result[Value, result_codes.Refusal]:
         if self.metrics is not None:
             outcome = (
                 result.failure().code
@@ -161,7 +162,7 @@
     )
 
 
-def _unknown(key: str, reason: str) -> result_codes.Refusal:
+def _outcome_unknown(key: str, reason: str) -> result_codes.Refusal:
     return result_codes.Refusal(
         result_codes.ResultCode.STORE_OUTCOME_UNKNOWN,
         f"the write of {key} may have taken effect: {reason}",
@@ -185,7 +186,7 @@
     try:
         return Success(_OBJECT.validate_json(reply.body))
     except pydantic.ValidationError:
-        return Failure(_unavailable("the answer is not an object"))
+        return Failure(_unavailable("the answer is not a valid object"))
 
 
 def _read_listing(
@@ -198,7 +199,7 @@
     try:
         return Success(_LISTING.validate_json(reply.body))
     except pydantic.ValidationError:
-        return Failure(_unavailable("the answer is not a listing"))
+        return Failure(_unavailable("the answer is not a valid listing"))
 
 
 def _read_put(
@@ -206,7 +207,7 @@
 ) -> ObjectResult:
     if isinstance(reply, io_transport.NoReply):
         if reply.maybe_sent:
-            return Failure(_unknown(key, reply.reason))
+            return Failure(_outcome_unknown(key, reply.reason))
         return Failure(_unavailable(reply.reason))
     if reply.status == 412:
         return Failure(
@@ -215,12 +216,14 @@
                 f"{key} has another revision",
             )
         )
-    # The store refuses these without an effect.
+    # With these statuses the store has rejected the write.
     if 400 <= reply.status < 500:
         return Failure(_unavailable(f"status {reply.status}"))
     if reply.status not in (200, 201):
-        return Failure(_unknown(key, f"status {reply.status}"))
+        return Failure(_outcome_unknown(key, f"status {reply.status}"))
     try:
         return Success(_OBJECT.validate_json(reply.body))
     except pydantic.ValidationError:
-        return Failure(_unknown(key, "the answer is not an object"))
+        return Failure(
+            _outcome_unknown(key, "the answer is not a valid object")
+        )
--- a/src/samphirelug/components/store/io_transport.py
+++ b/src/samphirelug/components/store/io_transport.py
@@ -1,4 +1,8 @@
-"""Carry calls to the store over HTTP, and tell lost calls from unsent."""
+"""Send calls to the store over HTTP.
+
+When there is no answer, the result says whether the store may have received
+the call, since a write may then have taken effect.
+"""
 
 import socket
 from typing import Any
@@ -9,24 +13,27 @@
 from tornado import simple_httpclient
 from tornado import tcpclient
 
-# The store answers in milliseconds; a call that takes this long has met an
-# outage, and a slow store must not hold the callers of this client.
+# The store answers within milliseconds, so a call that takes this long
+# indicates an outage. A slow store must not block the users of this client.
 CONNECT_TIMEOUT_S = 0.5
 REQUEST_TIMEOUT_S = 2.0
-# A whole catalogue can be many megabytes.
+# Lists may take longer: a whole catalogue can have many megabytes.
 LIST_TIMEOUT_S = 10.0
-MAX_CALLS_AT_ONCE = 32
-# The client raises time-outs before anything was sent with these messages.
-UNSENT_TIMEOUTS = ("Timeout while connecting", "Timeout in request queue")
-# A waiting watch whose connection has gone silent is noticed within about
-# three seconds; changes have to be in force soon after.
+MAX_CONCURRENT_CALLS = 32
+# Messages of the HTTP client's time-outs that occur before a call is sent.
+UNSENT_TIMEOUT_MESSAGES = (
+    "Timeout while connecting",
+    "Timeout in request queue",
+)
+# These detect a broken connection of a waiting watch within about three
+# seconds, since changes have to be in force soon after they are made.
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
 
 
 class StoreTimeouts(NamedTuple):
-    """Bound the time of calls to the store, in seconds."""
+    """Limit the time of calls to the store, in seconds."""
 
     connect_s: float = CONNECT_TIMEOUT_S
     request_s: float = REQUEST_TIMEOUT_S
@@ -34,24 +41,25 @@
 
 
 class Reply(NamedTuple):
-    """Hold an HTTP answer's status and body."""
+    """Hold the status and body of an HTTP answer."""
 
     status: int
     body: bytes
 
 
 class NoReply(NamedTuple):
-    """Tell why no answer came, and whether the store may have the call."""
+    """Describe why a call to the store has no answer."""
 
     reason: str
+    # Whether the store may have received the call.
     maybe_sent: bool
 
 
 class KeepAliveTcpClient(tcpclient.TCPClient):
-    """Open connections that notice a silent peer."""
+    """Open TCP connections with keep-alive to detect broken connections."""
 
     async def connect(self, *args: Any, **kwargs: Any) -> iostream.IOStream:
-        """Return a connection with short keep-alive probes."""
+        """Return a connection with short keep-alive intervals."""
         stream = await super().connect(*args, **kwargs)
         for option, value in (
             (socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S),
@@ -64,13 +72,13 @@
 
 
 class StoreTransport:
-    """Send calls to the store."""
+    """Send HTTP calls to the store."""
 
     def __init__(self, *, base_url: str, timeouts: StoreTimeouts) -> None:
         self.base_url = base_url.rstrip("/")
         self.timeouts = timeouts
         self.client = simple_httpclient.SimpleAsyncHTTPClient(
-            force_instance=True, max_clients=MAX_CALLS_AT_ONCE
+            force_instance=True, max_clients=MAX_CONCURRENT_CALLS
         )
         self.client.tcp_client = KeepAliveTcpClient(
             resolver=self.client.resolver
@@ -89,7 +97,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Reply | NoReply:
-        """Return the store's answer or why there is none."""
+        """Return the store's answer, or the reason why there is none."""
         request = httpclient.HTTPRequest(
             f"{self.base_url}{path}",
             method=method,
@@ -102,15 +110,17 @@
         try:
             response = await self.client.fetch(request, raise_error=False)
         except (httpclient.HTTPError, OSError) as error:
-            return NoReply(str(error) or type(error).__name__, _sent(error))
+            return NoReply(
+                str(error) or type(error).__name__, _maybe_sent(error)
+            )
         return Reply(response.code, response.body)
 
 
-def _sent(error: Exception) -> bool:
-    """Tell whether bytes of the request may have reached the store."""
+def _maybe_sent(error: Exception) -> bool:
+    """Return whether parts of the request may have reached the store."""
     if isinstance(error, ConnectionRefusedError | socket.gaierror):
         return False
     return not (
         isinstance(error, simple_httpclient.HTTPTimeoutError)
-        and str(error.message) in UNSENT_TIMEOUTS
+        and str(error.message) in UNSENT_TIMEOUT_MESSAGES
     )
--- a/src/samphirelug/components/store/model.py
+++ b/src/samphirelug/components/store/model.py
@@ -1,4 +1,4 @@
-"""Define what the platform's object store returns."""
+"""Define objects and listings of the platform's object store."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -6,7 +6,7 @@
 
 
 class StoredObject(NamedTuple):
-    """Hold an object's value and the store's revision of its last write."""
+    """Hold an object with the revision of its last write."""
 
     key: str
     revision: int
@@ -15,7 +15,7 @@
 
 
 class Listing(NamedTuple):
-    """Hold objects under a prefix as of a revision of the whole store."""
+    """Hold a set of objects as of a revision of the whole store."""
 
     revision: int
     objects: tuple[StoredObject, ...]
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -224,7 +224,9 @@
                 availability=availability,
                 timer=self.timer,
                 rng=random.Random(),
-                pause_s=pauses_s.get(kind, follower.PAUSE_AFTER_CHANGE_S),
+                pause_after_change_s=pauses_s.get(
+                    kind, follower.PAUSE_AFTER_CHANGE_S
+                ),
             )
             for kind, consumer in kinds.items()
         ]
--- a/tests/components/store/__init__.py
+++ b/tests/components/store/__init__.py
@@ -1,1 +1,1 @@
-"""Test the store component."""
+"""Test the access to the platform's object store."""
--- a/tests/components/store/test_follower.py
+++ b/tests/components/store/test_follower.py
@@ -1,4 +1,4 @@
-"""Test how objects are followed through outages of the store."""
+"""Test listing and watching of objects across outages of the store."""
 
 import asyncio
 from collections.abc import Sequence
@@ -19,124 +19,130 @@
 UNAVAILABLE: Failure[result_codes.Refusal] = Failure(
     result_codes.Refusal(result_codes.ResultCode.STORE_UNAVAILABLE, "down")
 )
-Listed = Result[model.Listing, result_codes.Refusal]
-Watched = Result[feed.Changes | None, result_codes.Refusal]
+ListResult = Result[model.Listing, result_codes.Refusal]
+WatchResult = Result[feed.Changes | None, result_codes.Refusal]
 
 
 class ScriptedFeed(feed.ObjectFeed):
-    """Return scripted results; wait for ever when they have run out."""
+    """Return scripted results, then wait for ever.
 
-    def __init__(self, *script: Listed | Watched | float) -> None:
+    A number in the script advances the clock by as many seconds.
+    """
+
+    def __init__(self, *script: ListResult | WatchResult | float) -> None:
         self.script = list(script)
         self.timer = timer_helper.ManualTimerService()
         self.calls: list[str] = []
-        self.waits_s: list[float] = []
-        self.done = asyncio.Event()
+        self.watch_timeouts_s: list[float] = []
+        self.script_ended = asyncio.Event()
 
     async def list(
         self, kind: feed.ObjectKind, *, allow_stale: bool = False
-    ) -> Listed:
-        """Return the next result."""
+    ) -> ListResult:
+        """Return the next result of the script."""
         del kind, allow_stale
         return await self._next("list")  # type: ignore[return-value]
 
     async def watch(
         self, kind: feed.ObjectKind, *, after: int, timeout_s: float
-    ) -> Watched:
-        """Return the next result."""
+    ) -> WatchResult:
+        """Return the next result of the script."""
         del kind
-        self.waits_s.append(timeout_s)
+        self.watch_timeouts_s.append(timeout_s)
         return await self._next(f"watch {after}")  # type: ignore[return-value]
 
     async def put(
         self, kind: feed.ObjectKind, name: str, value: dict[str, object]
     ) -> Result[int, result_codes.Refusal]:
-        """Refuse; followers do not write."""
+        """Raise an error, since followers do not write."""
         raise NotImplementedError
 
     async def delete(
         self, kind: feed.ObjectKind, name: str
     ) -> Result[None, result_codes.Refusal]:
-        """Refuse; followers do not write."""
+        """Raise an error, since followers do not write."""
         raise NotImplementedError
 
-    async def _next(self, call: str) -> Listed | Watched:
+    async def _next(self, call: str) -> ListResult | WatchResult:
         self.calls.append(call)
         while self.script and isinstance(self.script[0], float):
             self.timer.now_s += self.script.pop(0)  # type: ignore[operator]
         if not self.script:
-            self.done.set()
+            self.script_ended.set()
             await asyncio.Event().wait()
         return self.script.pop(0)  # type: ignore[return-value]
 
 
-class Consumer(follower.ObjectConsumer):
-    """Keep what it was told."""
+class RecordingConsumer(follower.ObjectConsumer):
+    """Record the calls of the follower.
+
+    A flag next to names says whether they came with a grace period.
+    """
 
     def __init__(self) -> None:
-        self.seen: list[object] = []
+        self.received: list[object] = []
 
     def replace_all(
         self, objects: Sequence[model.StoredObject], *, grace_s: float
     ) -> None:
-        """Keep the names."""
-        self.seen.append(([one.key for one in objects], grace_s > 0))
+        """Record the names."""
+        self.received.append(([stored.key for stored in objects], grace_s > 0))
 
     def upsert(self, stored: model.StoredObject) -> None:
-        """Keep the name."""
-        self.seen.append(stored.key)
+        """Record the name."""
+        self.received.append(stored.key)
 
     def remove(self, name: str, *, grace_s: float) -> None:
-        """Keep the name."""
-        self.seen.append((name, grace_s > 0))
+        """Record the name."""
+        self.received.append((name, grace_s > 0))
 
 
 class InstantTimer(timer_helper.ManualTimerService):
-    """Sleep no time, but yield."""
+    """Sleep without delay, but yield to the event loop."""
 
     async def sleep(self, delay_s: float) -> None:
-        """Return at once."""
+        """Return after yielding to the event loop."""
         del delay_s
         await asyncio.sleep(0)
 
 
-def follow(
-    *script: Listed | Watched | float,
+def run_follower(
+    *script: ListResult | WatchResult | float,
 ) -> tuple[list[object], list[str]]:
-    """Follow a script; return what the consumer saw and the calls made."""
+    """Follow a script; return what the consumer received and the calls."""
 
     async def main() -> tuple[list[object], list[str]]:
-        scripted = ScriptedFeed(*script)
-        scripted.timer = InstantTimer()
-        consumer = Consumer()
-        following = follower.ObjectFollower(
+        scripted_feed = ScriptedFeed(*script)
+        scripted_feed.timer = InstantTimer()
+        consumer = RecordingConsumer()
+        object_follower = follower.ObjectFollower(
             kind=feed.ObjectKind.BACKEND_SERVERS,
-            feed=scripted,
+            feed=scripted_feed,
             consumer=consumer,
             availability=store_availability.StoreAvailability(
-                timer=scripted.timer
+                timer=scripted_feed.timer
             ),
-            timer=scripted.timer,
+            timer=scripted_feed.timer,
             rng=random.Random(1),
         )
-        task = asyncio.ensure_future(following.run())
-        await asyncio.wait_for(scripted.done.wait(), 5)
+        task = asyncio.ensure_future(object_follower.run())
+        await asyncio.wait_for(scripted_feed.script_ended.wait(), 5)
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
-        return consumer.seen, scripted.calls
+        return consumer.received, scripted_feed.calls
 
     return asyncio.run(main())
 
 
-def listing(revision: int, *names: str) -> Listed:
-    """Return a listing of objects."""
+def list_result(revision: int, *names: str) -> ListResult:
+    """Return the result of a list call with empty objects."""
     objects = tuple(model.StoredObject(name, revision, {}) for name in names)
     return Success(model.Listing(revision, objects))
 
 
-def changes(revision: int, *events: str | feed.Removal) -> Watched:
-    """Return changes."""
+def watch_result(revision: int, *events: str | feed.Removal) -> WatchResult:
+    """Return the result of a watch call; a name stands for an upsert."""
     return Success(
         feed.Changes(
             revision,
@@ -150,184 +156,202 @@
     )
 
 
-def test_watch_goes_on_from_the_last_revision() -> None:
-    """Guard against changes lost between two watches."""
-    seen, calls = follow(
-        listing(5, "a"), changes(7, "b"), changes(9, feed.Removal("a"))
+def test_watch_continues_from_the_last_revision() -> None:
+    """Guard against changes that are lost between two watches."""
+    received, calls = run_follower(
+        list_result(5, "a"),
+        watch_result(7, "b"),
+        watch_result(9, feed.Removal("a")),
     )
-    assert seen == [(["a"], False), "b", ("a", False)]
+    assert received == [(["a"], False), "b", ("a", False)]
     assert calls == ["list", "watch 5", "watch 7", "watch 9"]
 
 
-def test_lost_history_means_a_new_list() -> None:
-    """Guard against missing what changed while history was dropped."""
-    seen, calls = follow(listing(5, "a"), Success(None), listing(8, "b"))
-    assert seen == [(["a"], False), (["b"], False)]
+def test_watch_that_cannot_continue_leads_to_a_new_list() -> None:
+    """Guard against missing changes that the store no longer has."""
+    received, calls = run_follower(
+        list_result(5, "a"), Success(None), list_result(8, "b")
+    )
+    assert received == [(["a"], False), (["b"], False)]
     assert calls[:3] == ["list", "watch 5", "list"]
 
 
 def test_older_list_is_ignored() -> None:
-    """Guard against a stale answer bringing departed servers back."""
-    seen, _ = follow(
-        listing(5, "a"), Success(None), listing(4, "old"), listing(6, "b")
+    """Guard against a stale list that adds removed servers again."""
+    received, _ = run_follower(
+        list_result(5, "a"),
+        Success(None),
+        list_result(4, "old"),
+        list_result(6, "b"),
     )
-    assert seen == [(["a"], False), (["b"], False)]
+    assert received == [(["a"], False), (["b"], False)]
+
 
+def test_removal_after_an_outage_has_a_grace_period() -> None:
+    """Guard against removing running servers after an outage.
 
-def test_entries_that_vanish_after_an_outage_are_marked() -> None:
-    """Guard against taking lapsed entries for servers that left."""
-    seen, _ = follow(
-        listing(5, "a"),
+    Their entries expire during the outage and are written again after it.
+    """
+    received, _ = run_follower(
+        list_result(5, "a"),
         UNAVAILABLE,
         3.0,
         UNAVAILABLE,
-        changes(6, feed.Removal("a")),
+        watch_result(6, feed.Removal("a")),
         5.0,
-        changes(7, feed.Removal("b")),
+        watch_result(7, feed.Removal("b")),
     )
-    assert seen == [(["a"], False), ("a", True), ("b", False)]
+    assert received == [(["a"], False), ("a", True), ("b", False)]
 
 
-def test_single_lost_watch_is_no_outage() -> None:
-    """Guard against keeping a departed server after each cut connection."""
-    seen, _ = follow(
-        listing(5, "a"), UNAVAILABLE, changes(6, feed.Removal("a"))
+def test_single_failed_watch_is_not_an_outage() -> None:
+    """Guard against keeping removed servers after any broken connection."""
+    received, _ = run_follower(
+        list_result(5, "a"), UNAVAILABLE, watch_result(6, feed.Removal("a"))
     )
-    assert seen == [(["a"], False), ("a", False)]
+    assert received == [(["a"], False), ("a", False)]
 
 
-class SilentFeed(ScriptedFeed):
-    """Answer a first watch never, and later ones at once."""
+class HangingFeed(ScriptedFeed):
+    """Never answer the first watch; answer later ones by the script."""
 
     async def watch(
         self, kind: feed.ObjectKind, *, after: int, timeout_s: float
-    ) -> Watched:
-        """Hang on the first call."""
+    ) -> WatchResult:
+        """Wait for ever on the first call."""
         if not any(call.startswith("watch") for call in self.calls):
             self.calls.append("watch")
             await asyncio.Event().wait()
         return await super().watch(kind, after=after, timeout_s=timeout_s)
 
 
-def test_watch_that_outlived_an_outage_is_started_again() -> None:
-    """Guard against a connection that stays silent after an outage.
+def test_watch_from_before_an_outage_is_restarted() -> None:
+    """Guard against a connection that never carries data after an outage.
 
-    Seen on vnk-portaal, scale-2, seed 571223684798: a host that was cut off
-    from the store used a server 12 s after it had left.
+    With such a watch, a host that had been cut off from the store used a
+    server 12 s after it had left (vnk-portaal, scale-2, seed 571223684798).
     """
 
     async def main() -> list[str]:
-        silent = SilentFeed(listing(5, "a"), changes(6, "b"))
-        silent.timer = InstantTimer()
-        availability = store_availability.StoreAvailability(timer=silent.timer)
-        following = follower.ObjectFollower(
+        hanging_feed = HangingFeed(list_result(5, "a"), watch_result(6, "b"))
+        hanging_feed.timer = InstantTimer()
+        availability = store_availability.StoreAvailability(
+            timer=hanging_feed.timer
+        )
+        object_follower = follower.ObjectFollower(
             kind=feed.ObjectKind.BACKEND_SERVERS,
-            feed=silent,
-            consumer=Consumer(),
+            feed=hanging_feed,
+            consumer=RecordingConsumer(),
             availability=availability,
-            timer=silent.timer,
+            timer=hanging_feed.timer,
             rng=random.Random(1),
         )
-        task = asyncio.ensure_future(following.run())
+        task = asyncio.ensure_future(object_follower.run())
         await asyncio.sleep(0.01)
-        other = object()
-        availability.note_failure(other, detail="cut")
-        silent.timer.now_s += 3.0
-        availability.note_success()
-        await asyncio.wait_for(silent.done.wait(), 5)
+        other_follower = object()
+        availability.record_failure(other_follower, detail="cut")
+        hanging_feed.timer.now_s += 3.0
+        availability.record_success()
+        await asyncio.wait_for(hanging_feed.script_ended.wait(), 5)
         task.cancel()
-        return silent.calls
+        return hanging_feed.calls
 
     assert asyncio.run(main()) == ["list", "watch", "watch 5", "watch 6"]
 
 
-def test_only_one_follower_calls_a_store_that_is_away() -> None:
-    """Guard against all followers of all hosts calling a store in trouble."""
+def test_only_one_follower_calls_the_store_during_an_outage() -> None:
+    """Guard against calls of all followers of all hosts during an outage."""
     timer = timer_helper.ManualTimerService()
 
     async def main() -> None:
         availability = store_availability.StoreAvailability(timer=timer)
-        availability.note_failure("first", detail="down")
-        availability.note_failure("second", detail="down")
+        availability.record_failure("first", detail="down")
+        availability.record_failure("second", detail="down")
         assert availability.is_prober("first")
         assert not availability.is_prober("second")
         timer.now_s += 4.0
-        availability.note_failure("first", detail="down")
+        availability.record_failure("first", detail="down")
         timer.now_s += 0.2
-        availability.note_success()
-        # Counted from the last call that failed.
-        assert abs(availability.grace_s() - 2.1) < 0.001
+        availability.record_success()
+        # The grace period starts at the last failed call, 0.2 s ago.
+        assert abs(availability.grace_remaining_s() - 2.1) < 0.001
 
     asyncio.run(main())
 
 
-def test_store_that_is_away_is_asked_with_a_short_wait() -> None:
-    """Guard against 25 s without news after a cut from the store.
+def test_watch_during_an_outage_has_a_short_timeout() -> None:
+    """Guard against 25 s without updates after an outage.
 
-    Seen on vnk-portaal, mix, seed 334590984826: the follower that asked for
-    all others waited in a watch without changes while a version was
-    confirmed.
+    All followers wait for the call of the prober. In a run of vnk-portaal
+    (mix, seed 334590984826) that call was a long watch without changes, while
+    a version of the configuration was being confirmed.
     """
 
     async def main() -> list[float]:
-        scripted = ScriptedFeed(
-            listing(5, "a"), UNAVAILABLE, changes(5), changes(6, "b")
+        scripted_feed = ScriptedFeed(
+            list_result(5, "a"),
+            UNAVAILABLE,
+            watch_result(5),
+            watch_result(6, "b"),
         )
-        scripted.timer = InstantTimer()
-        following = follower.ObjectFollower(
+        scripted_feed.timer = InstantTimer()
+        object_follower = follower.ObjectFollower(
             kind=feed.ObjectKind.EVACUATIONS,
-            feed=scripted,
-            consumer=Consumer(),
+            feed=scripted_feed,
+            consumer=RecordingConsumer(),
             availability=store_availability.StoreAvailability(
-                timer=scripted.timer
+                timer=scripted_feed.timer
             ),
-            timer=scripted.timer,
+            timer=scripted_feed.timer,
             rng=random.Random(1),
         )
-        task = asyncio.ensure_future(following.run())
-        await asyncio.wait_for(scripted.done.wait(), 5)
+        task = asyncio.ensure_future(object_follower.run())
+        await asyncio.wait_for(scripted_feed.script_ended.wait(), 5)
         task.cancel()
-        return scripted.waits_s
+        return scripted_feed.watch_timeouts_s
 
-    long, short = follower.WATCH_TIMEOUT_S, follower.PROBE_WATCH_S
+    long, short = follower.WATCH_TIMEOUT_S, follower.PROBE_WATCH_TIMEOUT_S
     assert asyncio.run(main()) == [long, short, long, long]
 
 
-def test_changes_are_gathered_for_the_time_that_the_kind_allows() -> None:
-    """Guard against a call of each host for each of many servers."""
+def test_follower_pauses_after_changes() -> None:
+    """Guard against a call for each of many changes in quick succession."""
 
-    class SleepLog(InstantTimer):
-        """Keep the times slept."""
+    class RecordingTimer(InstantTimer):
+        """Record the delays of sleeps."""
 
         def __init__(self) -> None:
             super().__init__()
-            self.slept_s: list[float] = []
+            self.sleep_delays_s: list[float] = []
 
         async def sleep(self, delay_s: float) -> None:
-            """Keep the time and return at once."""
-            self.slept_s.append(delay_s)
+            """Record the delay and return without it."""
+            self.sleep_delays_s.append(delay_s)
             await super().sleep(delay_s)
 
     async def main() -> list[float]:
-        scripted = ScriptedFeed(
-            listing(5), changes(6, "s1", "s2"), changes(7), changes(8, "s3")
+        scripted_feed = ScriptedFeed(
+            list_result(5),
+            watch_result(6, "s1", "s2"),
+            watch_result(7),
+            watch_result(8, "s3"),
         )
-        timer = SleepLog()
-        scripted.timer = timer
-        following = follower.ObjectFollower(
+        timer = RecordingTimer()
+        scripted_feed.timer = timer
+        object_follower = follower.ObjectFollower(
             kind=feed.ObjectKind.BACKEND_SERVERS,
-            feed=scripted,
-            consumer=Consumer(),
+            feed=scripted_feed,
+            consumer=RecordingConsumer(),
             availability=store_availability.StoreAvailability(timer=timer),
             timer=timer,
             rng=random.Random(1),
-            pause_s=0.875,
+            pause_after_change_s=0.875,
         )
-        task = asyncio.ensure_future(following.run())
-        await asyncio.wait_for(scripted.done.wait(), 5)
+        task = asyncio.ensure_future(object_follower.run())
+        await asyncio.wait_for(scripted_feed.script_ended.wait(), 5)
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
-        return timer.slept_s
+        return timer.sleep_delays_s
 
     assert asyncio.run(main()) == [0.875, 0.875]
--- a/tests/components/store/test_io_http_store.py
+++ b/tests/components/store/test_io_http_store.py
@@ -1,4 +1,4 @@
-"""Test the HTTP client against the store's stand-in."""
+"""Test the HTTP client of the store against a simulated store."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -27,19 +27,19 @@
     )
 
 
-def run(
-    body: Callable[
+def run_with_store(
+    scenario: Callable[
         [store_standin.StoreCore, io_http_store.HttpObjectStore],
         Awaitable[None],
     ],
 ) -> None:
-    async def wrapped() -> None:
+    async def run() -> None:
         core = store_standin.StoreCore()
         client = make_client(store_standin.listen(core, port=0))
-        await body(core, client)
+        await scenario(core, client)
         client.close()
 
-    asyncio.run(wrapped())
+    asyncio.run(run())
 
 
 def code_of(result: object) -> result_codes.ResultCode:
@@ -49,18 +49,18 @@
     return code
 
 
-def test_conditional_writes_and_reads() -> None:
+def test_write_requires_the_expected_revision() -> None:
     """Guard against a write that ignores the expected revision."""
 
-    async def body(
+    async def scenario(
         core: store_standin.StoreCore, client: io_http_store.HttpObjectStore
     ) -> None:
         first = (
             await client.put("a/b", {"n": 1}, expected_revision=0)
         ).unwrap()
         assert first.revision == 1
-        again = await client.put("a/b", {"n": 2}, expected_revision=0)
-        assert code_of(again) is result_codes.ResultCode.STORE_CONFLICT
+        conflict = await client.put("a/b", {"n": 2}, expected_revision=0)
+        assert code_of(conflict) is result_codes.ResultCode.STORE_CONFLICT
         assert (await client.get("a/b")) == Success(first)
         missing = await client.get("a/c")
         assert code_of(missing) is result_codes.ResultCode.OBJECT_NOT_FOUND
@@ -68,13 +68,13 @@
         assert listing == (1, (first,))
         assert core.calls == {"put": 2, "get": 2, "list": 1}
 
-    run(body)
+    run_with_store(scenario)
 
 
-def test_watch_wakes_and_times_out() -> None:
+def test_watch_returns_changes_or_times_out() -> None:
     """Guard against a watch that misses a change or never returns."""
 
-    async def body(
+    async def scenario(
         core: store_standin.StoreCore, client: io_http_store.HttpObjectStore
     ) -> None:
         waiting = asyncio.create_task(
@@ -89,7 +89,7 @@
         empty = (await client.watch("a/", after=2, timeout_s=0.1)).unwrap()
         assert empty == (2, ())
 
-    run(body)
+    run_with_store(scenario)
 
 
 @pytest.mark.parametrize(
@@ -101,12 +101,12 @@
         ({"lose_requests": 1}, "OBJECT_NOT_FOUND", "STORE_OUTCOME_UNKNOWN", 0),
     ],
 )
-def test_faults_are_classified(
+def test_faults_are_mapped_to_result_codes(
     faults: store_standin.FaultSettings, read: str, write: str, written: int
 ) -> None:
-    """Guard against calling a write with a lost answer a failure."""
+    """Guard against a write reported as failed that may have taken effect."""
 
-    async def body(
+    async def scenario(
         core: store_standin.StoreCore, client: io_http_store.HttpObjectStore
     ) -> None:
         core.faults.update(faults)
@@ -115,16 +115,16 @@
         assert code_of(result).name == write
         assert core.revision == written
 
-    run(body)
+    run_with_store(scenario)
 
 
-def test_refused_connection_is_unavailable() -> None:
-    """Guard against an unknown outcome where nothing can have been sent."""
+def test_refused_connection_means_store_unavailable() -> None:
+    """Guard against an unknown outcome of a write that was never sent."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         port = unused.getsockname()[1]
 
-    async def body() -> None:
+    async def scenario() -> None:
         client = make_client(port)
         for result in (
             await client.get("a"),
@@ -135,4 +135,4 @@
             assert code is result_codes.ResultCode.STORE_UNAVAILABLE
         client.close()
 
-    asyncio.run(body())
+    asyncio.run(scenario())
--- a/tests/components/store/test_standin.py
+++ b/tests/components/store/test_standin.py
@@ -1,4 +1,4 @@
-"""Test what the store's stand-in offers beyond the store's interface."""
+"""Test the control interface and the start of the simulated store."""
 
 import asyncio
 import json
@@ -15,35 +15,35 @@
 
 
 def test_control_endpoint_sets_faults_and_counts_calls() -> None:
-    """Guard against a fault that is accepted but not in force."""
+    """Guard against a fault that is accepted without taking effect."""
 
-    async def body() -> None:
+    async def scenario() -> None:
         core = store_standin.StoreCore()
-        base = f"http://127.0.0.1:{store_standin.listen(core, port=0)}"
+        base_url = f"http://127.0.0.1:{store_standin.listen(core, port=0)}"
         client = httpclient.AsyncHTTPClient()
-        await client.fetch(f"{base}/v1/objects?prefix=a")
+        await client.fetch(f"{base_url}/v1/objects?prefix=a")
         await client.fetch(
-            f"{base}/control/faults",
+            f"{base_url}/control/faults",
             method="POST",
             body=json.dumps({"down": True, "lose_answers": 2}),
         )
         assert core.faults.down
         assert core.faults.lose_answers == 2
-        refused = await client.fetch(
-            f"{base}/control/faults",
+        invalid = await client.fetch(
+            f"{base_url}/control/faults",
             method="POST",
             body='{"down": "perhaps"}',
             raise_error=False,
         )
-        assert refused.code == 400
-        calls = await client.fetch(f"{base}/control/calls")
+        assert invalid.code == 400
+        calls = await client.fetch(f"{base_url}/control/calls")
         assert json.loads(calls.body) == {"list": 1, "waiting": 0}
 
-    asyncio.run(body())
+    asyncio.run(scenario())
 
 
-def test_process_writes_its_port() -> None:
-    """Guard against a ready line before the port is open."""
+def test_process_prints_its_port_once_it_listens() -> None:
+    """Guard against a ready line that is printed before the port is open."""
     with subprocess.Popen(
         [sys.executable, "-m", "standins.store"],
         cwd=ROOT,
