--- a/tests/platform_adapter/test_objects.py
+++ b/tests/platform_adapter/test_objects.py
@@ -1,4 +1,4 @@
-"""Test the translation of the platform's objects and settings."""
+"""Test the decoding of the platform's objects, durations and settings."""
 
 import copy
 import pathlib
@@ -77,28 +77,28 @@
 DECODER = objects.PlatformDecoder(zones={"a1": "a"})
 
 
-def changed(document: dict[str, Any], path: str, value: object) -> Any:
-    """Return a copy with one field changed, or removed for None."""
-    copied = copy.deepcopy(document)
+def with_field(document: dict[str, Any], path: str, value: object) -> Any:
+    """Return a copy with one field replaced, or removed if value is None."""
+    copy_of_document = copy.deepcopy(document)
     *parents, last = path.split(".")
-    inner: Any = copied
+    parent: Any = copy_of_document
     for part in parents:
-        inner = inner[int(part) if part.isdigit() else part]
+        parent = parent[int(part) if part.isdigit() else part]
     if value is None:
-        del inner[last]
+        del parent[last]
     else:
-        inner[last] = value
-    return copied
+        parent[last] = value
+    return copy_of_document
 
 
-def stored(value: Any) -> store_model.StoredObject:
-    """Return a stored object."""
+def stored_object(value: Any) -> store_model.StoredObject:
+    """Return a stored object with a key and a revision."""
     return store_model.StoredObject("i-1", 7, value)
 
 
-def test_server_is_translated() -> None:
-    """Guard against a field of the wire taken for another."""
-    server = DECODER.server(stored(SERVER), now=100.0).unwrap()
+def test_server_is_decoded() -> None:
+    """Guard against a field that is decoded as another one."""
+    server = DECODER.server(stored_object(SERVER), now=100.0).unwrap()
     assert server.instance_id == "i-1"
     assert server.started_unix_ms == 1786327788275
     assert server.zone == ("a1", "a")
@@ -121,17 +121,19 @@
         ("born", "soon"),
     ],
 )
-def test_entry_of_another_writer_names_no_server(
+def test_object_that_is_no_server_entry_is_rejected(
     path: str, value: object
 ) -> None:
-    """Guard against requests to what is no server."""
-    result = DECODER.server(stored(changed(SERVER, path, value)), now=0.0)
+    """Guard against requests to an address of another program's object."""
+    result = DECODER.server(
+        stored_object(with_field(SERVER, path, value)), now=0.0
+    )
     assert isinstance(result, Failure)
 
 
-def test_configuration_is_translated() -> None:
-    """Guard against a field of the wire taken for another."""
-    decoded = DECODER.configuration(stored(CONFIGURATION)).unwrap()
+def test_configuration_is_decoded() -> None:
+    """Guard against a field that is decoded as another one."""
+    decoded = DECODER.configuration(stored_object(CONFIGURATION)).unwrap()
     assert decoded.version == 12
     assert decoded.limits.idle_timeout_s == 15.0
     filing, status = decoded.routes
@@ -139,7 +141,10 @@
     assert filing.allowed_regions == {"a"}
     assert filing.timeout_s == 1.2
     assert status.idempotent
-    assert [target.weight for target in status.destinations] == [90, 10]
+    assert [destination.weight for destination in status.destinations] == [
+        90,
+        10,
+    ]
     assert decoded.services["desk"].cold_requests_per_s == 2.7
 
 
@@ -155,20 +160,22 @@
         ("Listeners.0.Rules.1.Action.TrafficSplit.0.Weight", None),
     ],
 )
-def test_malformed_configuration_is_refused(path: str, value: object) -> None:
-    """Guard against a cut-short configuration in force."""
-    document = changed(CONFIGURATION, path, value)
-    assert isinstance(DECODER.configuration(stored(document)), Failure)
+def test_malformed_configuration_is_rejected(path: str, value: object) -> None:
+    """Guard against an incomplete configuration that is put in force."""
+    document = with_field(CONFIGURATION, path, value)
+    assert isinstance(DECODER.configuration(stored_object(document)), Failure)
 
 
 def test_unknown_fields_are_ignored() -> None:
-    """Guard against a new field that stops all changes."""
-    document = changed(CONFIGURATION, "Listeners.0.Rules.0.New", 1)
-    assert DECODER.configuration(stored(document)).unwrap().version == 12
+    """Guard against rejecting configurations that have new fields."""
+    document = with_field(CONFIGURATION, "Listeners.0.Rules.0.New", 1)
+    assert (
+        DECODER.configuration(stored_object(document)).unwrap().version == 12
+    )
 
 
-def test_durations() -> None:
-    """Guard against units taken for each other."""
+def test_durations_are_parsed_and_formatted() -> None:
+    """Guard against confusing units, and against malformed durations."""
     assert durations.parse("1500ms") == 1.5
     assert durations.parse("2.5s") == 2.5
     assert durations.render(2.0) == "2000ms"
@@ -177,8 +184,8 @@
             durations.parse(text)
 
 
-def test_settings_name_the_field_that_is_wrong(tmp_path: pathlib.Path) -> None:
-    """Guard against a start that fails without a reason."""
+def test_invalid_settings_name_the_field(tmp_path: pathlib.Path) -> None:
+    """Guard against a failed start without the name of the wrong field."""
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({"NodeName": "h1"}))
     refusal = settings.read(path).failure()
--- a/tests/platform_adapter/test_settings.py
+++ b/tests/platform_adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""Test how the platform's settings file is read."""
+"""Test reading the platform's settings file."""
 
 import copy
 import pathlib
@@ -37,23 +37,28 @@
 }
 
 
-def test_settings_are_translated(tmp_path: pathlib.Path) -> None:
-    """Guard against a field whose name misleads, such as CpuCores."""
+def test_settings_are_decoded(tmp_path: pathlib.Path) -> None:
+    """Guard against misreading fields with misleading names.
+
+    CpuCores is the speed of a core and not a number of cores.
+    """
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps(SETTINGS))
-    read = settings.read(path).unwrap()
-    assert read.drain_s == 2.5
-    assert read.resources == (1.0, 5.0)
-    assert read.store_url == "http://127.0.0.1:8142"
+    host_settings = settings.read(path).unwrap()
+    assert host_settings.drain_s == 2.5
+    assert host_settings.resources == (1.0, 5.0)
+    assert host_settings.store_url == "http://127.0.0.1:8142"
 
 
 @pytest.mark.parametrize("field", ["NodeName", "Bounds", "Limits", "Listen"])
-def test_missing_field_is_named(tmp_path: pathlib.Path, field: str) -> None:
-    """Guard against a process that starts with settings it cannot follow."""
-    broken = copy.deepcopy(SETTINGS)
-    del broken[field]
+def test_missing_field_is_reported_by_name(
+    tmp_path: pathlib.Path, field: str
+) -> None:
+    """Guard against a start with incomplete settings."""
+    incomplete = copy.deepcopy(SETTINGS)
+    del incomplete[field]
     path = tmp_path / "node.json"
-    path.write_bytes(orjson.dumps(broken))
+    path.write_bytes(orjson.dumps(incomplete))
     result = settings.read(path)
     assert isinstance(result, Failure)
     refusal = result.failure()
