--- a/benchmarks/capacity_store.py
+++ b/benchmarks/capacity_store.py
@@ -99,6 +99,6 @@
             f" for at {peak:.0f}/s, take {size * groups / WRITES_PER_S:.0f} s"
             f" at {WRITES_PER_S}/s; listings {size / sync.START_JITTER_S:.0f}"
             f"/s; fallback reads without peers "
-            f"{size / (sync.SOURCE_TIMEOUT_S + sync.SOURCE_JITTER_S / 2):.0f}"
+            f"{size / (sync.FALLBACK_WAIT_S + sync.FALLBACK_JITTER_S / 2):.0f}"
             "/s"
         )
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -1152,7 +1152,7 @@
 
 def _guaranteed_parts_of(
     view: catalogue_view.CatalogueView, key: str
-) -> catalogue_model.GuaranteedParts | None:
+) -> catalogue_model.GuaranteedFractions | None:
     """Return the guaranteed fractions in the region of a quota key."""
     kind, _, all_flows = key.partition(":")
     if kind == "slots":
--- a/src/samphirelug/components/admission/scheduler.py
+++ b/src/samphirelug/components/admission/scheduler.py
@@ -14,7 +14,7 @@
 
 
 def guaranteed_fraction(
-    parts: catalogue_model.GuaranteedParts, rank: core.Rank
+    parts: catalogue_model.GuaranteedFractions, rank: core.Rank
 ) -> float:
     """Return the fraction of the capacity that a rank is guaranteed."""
     if rank is core.Rank.URGENT:
@@ -29,7 +29,7 @@
     rank: core.Rank,
     usable: int,
     used: list[int],
-    parts: catalogue_model.GuaranteedParts,
+    parts: catalogue_model.GuaranteedFractions,
     configured: frozenset[core.Rank],
 ) -> int:
     """Return the units that a rank must leave free for more urgent ranks.
--- a/src/samphirelug/components/catalogue/codec.py
+++ b/src/samphirelug/components/catalogue/codec.py
@@ -33,7 +33,7 @@
     return {
         "change_id": change_id,
         "deleted": entry is None,
-        "entry": None if entry is None else schema.plain(entry),
+        "entry": None if entry is None else schema.dump_entry(entry),
     }
 
 
@@ -62,7 +62,7 @@
                 key, stored.revision, body["change_id"], None
             )
         )
-    checked = schema.read_entry(body["entry"], allow_unknown=True)
+    checked = schema.validate_entry(body["entry"], allow_unknown=True)
     if isinstance(checked, Failure):
         return checked
     entry = checked.unwrap()
--- a/src/samphirelug/components/catalogue/diff.py
+++ b/src/samphirelug/components/catalogue/diff.py
@@ -22,12 +22,12 @@
     if entry is None:
         return ""
     text: str = yaml.safe_dump(
-        schema.plain(entry), sort_keys=False, allow_unicode=True
+        schema.dump_entry(entry), sort_keys=False, allow_unicode=True
     )
     return text
 
 
-def changes(
+def changed_entries(
     *,
     current: Mapping[str, schema.Entry],
     wanted: Mapping[str, schema.Entry | None],
@@ -40,7 +40,7 @@
     )
 
 
-def unified(
+def unified_diff(
     change: EntryChange, *, before: str = "current", after: str = "new"
 ) -> str:
     """Return a unified diff of the two versions, empty where equal."""
--- a/src/samphirelug/components/catalogue/model.py
+++ b/src/samphirelug/components/catalogue/model.py
@@ -27,7 +27,7 @@
     interval_s: Annotated[float, pydantic.Field(gt=0.0, le=300.0)]
 
 
-class GuaranteedParts(TypedDict):
+class GuaranteedFractions(TypedDict):
     """Give the fraction of capacity that each rank keeps in a flood."""
 
     urgent: Fraction
@@ -45,7 +45,7 @@
     zone_latency_ms: Milliseconds
     max_in_flight: Count
     shift_cap: ShiftCap
-    guaranteed: GuaranteedParts
+    guaranteed: GuaranteedFractions
 
 
 class LinkEntry(TypedDict):
--- a/src/samphirelug/components/catalogue/schema.py
+++ b/src/samphirelug/components/catalogue/schema.py
@@ -50,13 +50,15 @@
     return f"{entry['kind']}/{entry['name']}"
 
 
-def plain(entry: Entry) -> dict[str, Any]:
+def dump_entry(entry: Entry) -> dict[str, Any]:
     """Return the entry as values that JSON and YAML have."""
     value: dict[str, Any] = _ENTRY.dump_python(entry, mode="json")
     return value
 
 
-def read_entry(document: object, *, allow_unknown: bool) -> Result[Entry, str]:
+def validate_entry(
+    document: object, *, allow_unknown: bool
+) -> Result[Entry, str]:
     """Validate one entry; the error names field, value and what is allowed.
 
     Hosts allow unknown fields, which a newer release may have added.
--- a/src/samphirelug/components/catalogue/sync.py
+++ b/src/samphirelug/components/catalogue/sync.py
@@ -31,8 +31,8 @@
 LISTING_INTERVAL_S = 300.0
 # Hosts that do not watch compare the window with one peer instead.
 PEER_RECHECK_INTERVAL_S = 30.0
-SOURCE_TIMEOUT_S = 10.0
-SOURCE_JITTER_S = 5.0
+FALLBACK_WAIT_S = 10.0
+FALLBACK_JITTER_S = 5.0
 # Two heartbeats and the time to connect. Without peers every host would
 # take itself for a watcher.
 START_GRACE_S = 1.5
@@ -137,7 +137,7 @@
                 await self.timer.sleep(PULL_INTERVAL_S)
 
     def _patience_s(self) -> float:
-        return SOURCE_TIMEOUT_S + self.rng.uniform(0.0, SOURCE_JITTER_S)
+        return FALLBACK_WAIT_S + self.rng.uniform(0.0, FALLBACK_JITTER_S)
 
     async def _watch(self) -> None:
         now_s = self.timer.monotonic()
@@ -164,7 +164,7 @@
         if not isinstance(answer, Success):
             await self._back_off(answer.failure())
             return
-        self._take_watch(answer.unwrap(), after)
+        self._apply_watch(answer.unwrap(), after)
         await self._recheck_store()
 
     async def _recheck_store(self) -> None:
@@ -185,7 +185,7 @@
             codec.PREFIX, after=after, timeout_s=0.0
         )
         if isinstance(answer, Success):
-            self._take_watch(answer.unwrap(), after)
+            self._apply_watch(answer.unwrap(), after)
         else:
             await self._back_off(answer.failure())
 
@@ -203,7 +203,7 @@
             # The store is still empty; do not ask without a pause.
             await self.timer.sleep(BACKOFF_MAX_S)
 
-    def _take_watch(self, listing: store_model.Listing, after: int) -> None:
+    def _apply_watch(self, listing: store_model.Listing, after: int) -> None:
         fresh = listing.revision >= self.state.position
         self.state.apply_watch(listing, after)
         self._after_store(fresh)
--- a/src/samphirelug/components/commands/catalogue.py
+++ b/src/samphirelug/components/commands/catalogue.py
@@ -68,7 +68,7 @@
             ),
             as_json=as_json,
         )
-    entry = schema.plain(catalogue.entries[key])
+    entry = schema.dump_entry(catalogue.entries[key])
     revision = catalogue.revisions[key]
     if as_json:
         output.print_json({"key": key, "revision": revision, "entry": entry})
@@ -138,7 +138,9 @@
     """Show how files differ from the store's catalogue."""
     wanted = _read(files, as_json=as_json).entries
     catalogue = _load(store_url, as_json=as_json)
-    changes = catalogue_diff.changes(current=catalogue.entries, wanted=wanted)
+    changes = catalogue_diff.changed_entries(
+        current=catalogue.entries, wanted=wanted
+    )
     if as_json:
         output.print_json(
             [
@@ -152,7 +154,7 @@
         )
         return
     for change in changes:
-        typer.echo(catalogue_diff.unified(change), nl=False)
+        typer.echo(catalogue_diff.unified_diff(change), nl=False)
 
 
 @app.command(cls=settings.Command)
@@ -352,7 +354,7 @@
 
 
 def _plain(entry: schema.Entry | None) -> dict[str, Any] | None:
-    return None if entry is None else schema.plain(entry)
+    return None if entry is None else schema.dump_entry(entry)
 
 
 def _read(files: list[str], *, as_json: bool) -> documents.Documents:
--- a/src/samphirelug/components/commands/documents.py
+++ b/src/samphirelug/components/commands/documents.py
@@ -53,7 +53,7 @@
                         " allowed: an integer from 0"
                     )
                     continue
-            checked = schema.read_entry(document, allow_unknown=False)
+            checked = schema.validate_entry(document, allow_unknown=False)
             if isinstance(checked, Failure):
                 faults.append(f"{where}: {checked.failure()}")
                 continue
--- a/tests/components/catalogue/test_schema.py
+++ b/tests/components/catalogue/test_schema.py
@@ -47,7 +47,7 @@
 ) -> None:
     """Guard against an error text that hides what to correct."""
     work = builders.make_work("w", work_class=core.WorkClass.STATUS)
-    result = schema.read_entry({**work, **change}, allow_unknown=False)
+    result = schema.validate_entry({**work, **change}, allow_unknown=False)
     assert isinstance(result, Failure)
     assert result.failure() == snapshot
 
@@ -56,24 +56,27 @@
     """Guard against servers that shadow each other and bad ports."""
     service = builders.make_service("s", zones=["a", "a"])
     service["servers"][0]["address"] = "127.0.0.1:70000"
-    text = schema.read_entry(service, allow_unknown=False).failure()
+    text = schema.validate_entry(service, allow_unknown=False).failure()
     assert "servers.name: has 's-a-0' 2 times" in text
     assert "servers.0.address: is '127.0.0.1:70000'" in text
     link = builders.make_link("a", "a")
-    text = schema.read_entry(link, allow_unknown=False).failure()
+    text = schema.validate_entry(link, allow_unknown=False).failure()
     assert "regions: has 'a' 2 times" in text
     too_long = {**link, "owner": "x" * schema.MAX_ENTRY_BYTES}
-    assert "bytes" in schema.read_entry(too_long, allow_unknown=True).failure()
+    assert (
+        "bytes"
+        in schema.validate_entry(too_long, allow_unknown=True).failure()
+    )
     for document in ("text", None, {1, 2}):
         assert isinstance(
-            schema.read_entry(document, allow_unknown=True), Failure
+            schema.validate_entry(document, allow_unknown=True), Failure
         )
 
 
 def test_hosts_accept_fields_of_a_newer_release() -> None:
     """Guard against hosts that refuse entries during a rolling upgrade."""
     work = builders.make_work("w", work_class=core.WorkClass.STATUS)
-    result = schema.read_entry({**work, "later": 1}, allow_unknown=True)
+    result = schema.validate_entry({**work, "later": 1}, allow_unknown=True)
     assert result == Success(work)
 
 
@@ -145,7 +148,7 @@
     """Guard against one server that is used under two names."""
     service = builders.make_service("s", zones=["tartu-a"], per_zone=2)
     service["servers"][1]["address"] = "[::ffff:7f00:1]:09000"
-    text = schema.read_entry(service, allow_unknown=False).failure()
+    text = schema.validate_entry(service, allow_unknown=False).failure()
     assert "servers.address: has '127.0.0.1:9000' 2 times" in text
     other = builders.make_service("t", zones=["tartu-a"], per_zone=1)
     other["servers"][0]["address"] = "[::ffff:7f00:1]:09000"
--- a/tests/components/catalogue/test_sync.py
+++ b/tests/components/catalogue/test_sync.py
@@ -211,7 +211,7 @@
             host.store.reachable = not host.sync.is_watcher()
         cluster.write_work(cap=2)
         await cluster.advance(
-            sync.SOURCE_TIMEOUT_S + sync.SOURCE_JITTER_S + 2.0
+            sync.FALLBACK_WAIT_S + sync.FALLBACK_JITTER_S + 2.0
         )
         assert set(caps(cluster).values()) == {2}
 
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -151,7 +151,7 @@
     ("P6", health.ServerHealth, "_mark_leaving", ignore, drains),
     ("P7", entry_host.EntryHostProcess, "_stop", calm, stops),
     ("P8", catalogue_state.CatalogueState, "_merge", merge, stale_store),
-    ("P8", sync.CatalogueSync, "_take_watch", ignore, stale_store),
+    ("P8", sync.CatalogueSync, "_apply_watch", ignore, stale_store),
 )
 
 
