--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run real entry hosts under random faults and check the promises."""
+"""Run real entry hosts under random faults and check their guarantees."""
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -17,11 +17,11 @@
 from standins.soak import world as soak_world
 
 CALLERS = 12
-SETTLE_S = 3.0
+RECOVERY_S = 3.0
 
 
 class Report(NamedTuple):
-    """Hold what a run brought."""
+    """Hold the results of one seed."""
 
     violations: list[str]
     faults: list[str]
@@ -45,34 +45,36 @@
     try:
         await world.start()
         start_s = loop.time()
-        lookups = [(host.ip, host.directory) for host in world.hosts]
-        calling = [
+        lookup_addresses = [
+            (host.ip, host.directory_port) for host in world.hosts
+        ]
+        caller_tasks = [
             asyncio.ensure_future(
                 callers.Caller(
                     name=f"c{number}",
-                    lookups=lookups,
+                    lookups=lookup_addresses,
                     rng=random.Random(seed * 1000 + number),
                     outcomes=outcomes,
-                ).run(start_s + seconds + SETTLE_S)
+                ).run(start_s + seconds + RECOVERY_S)
             )
             for number in range(CALLERS)
         ]
         kinds = faults.PLANNED if planned_only else faults.FAULTS
         applied = await faults.run(world, seconds=seconds, kinds=kinds)
-        await asyncio.gather(*calling)
+        await asyncio.gather(*caller_tasks)
     finally:
         exit_codes = await world.stop()
-    undisturbed = (
-        [checks.Undisturbed(start_s, loop.time())] if planned_only else []
+    planned_periods = (
+        [checks.PlannedPeriod(start_s, loop.time())] if planned_only else []
     )
-    found = checks.violations(
+    violations = checks.violations(
         outcomes,
-        world.runs,
-        undisturbed=undisturbed,
-        drain_holds=planned_only,
+        world.run_log,
+        planned_periods=planned_periods,
+        check_drain=planned_only,
     )
-    statuses = collections.Counter(str(one.status) for one in outcomes)
-    return Report(found, applied, dict(statuses), exit_codes)
+    statuses = collections.Counter(str(outcome.status) for outcome in outcomes)
+    return Report(violations, applied, dict(statuses), exit_codes)
 
 
 def main(
@@ -82,15 +84,16 @@
     hosts: int = 4,
     planned_only: bool = False,
 ) -> None:
-    """Run seeds one after the other; keep the logs of those that fail."""
-    # Watches that wait when a run ends are no failure of the store.
+    """Run seeds one after the other; exit with 1 if any of them fails."""
+    # Watches that are open when a run ends are cut off, which tornado
+    # would log as errors.
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     failed = []
-    for one in range(seed, seed + seeds):
-        folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{one}-"))
+    for one_seed in range(seed, seed + seeds):
+        folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{one_seed}-"))
         report = asyncio.run(
             soak(
-                seed=one,
+                seed=one_seed,
                 seconds=seconds,
                 hosts=hosts,
                 folder=folder,
@@ -98,13 +101,13 @@
             )
         )
         typer.echo(
-            f"seed {one}: {report.statuses}, {len(report.faults)} faults,"
-            f" exit codes {report.exit_codes}"
+            f"seed {one_seed}: {report.statuses},"
+            f" {len(report.faults)} faults, exit codes {report.exit_codes}"
         )
         for line in report.violations:
             typer.echo(f"  {line}")
         if report.violations:
-            failed.append(one)
+            failed.append(one_seed)
             typer.echo(f"  faults {report.faults}; logs in {folder}")
     typer.echo(f"{seeds} seeds, failed: {failed}")
     sys.exit(1 if failed else 0)
--- a/standins/soak/callers.py
+++ b/standins/soak/callers.py
@@ -1,4 +1,4 @@
-"""Send requests as callers do, and keep what each of them got."""
+"""Send requests as callers do, and record the outcome of each."""
 
 import asyncio
 import contextlib
@@ -11,28 +11,32 @@
 from samphirelug.components.http import response_parser
 
 REQUEST_ID = "x-samphirelug-request-id"
-SEAL = "x-samphirelug-response-seal"
+RESPONSE_SEAL = "x-samphirelug-response-seal"
 DEADLINE_MS = 2000
 ANSWER_TIMEOUT_S = 3.0
-PROMISES = (408, 421, 429, 503)
+# Statuses that promise that the request was not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Outcome(NamedTuple):
-    """Hold what a caller got for one try."""
+    """Hold the outcome of one request."""
 
     request_id: str
     idempotent: bool
-    # None if the connection ended without a whole answer.
+    # None if no complete answer came before the timeout or the end of the
+    # connection.
     status: int | None
     sealed: bool
     body: bytes
+    # Request ID in the answer.
     answered_id: str | None
     sent_at_s: float
+    # Address of the entry host.
     host: str
 
 
 class Caller:
-    """Send requests one after the other over a kept connection."""
+    """Send requests one after the other over a persistent connection."""
 
     def __init__(
         self,
@@ -46,20 +50,20 @@
         self.lookups = lookups
         self.rng = rng
         self.outcomes = outcomes
-        self.numbers = itertools.count()
+        self.request_numbers = itertools.count()
         self.connection: (
             tuple[asyncio.StreamReader, asyncio.StreamWriter, str] | None
         ) = None
 
     async def run(self, until_s: float) -> None:
-        """Send requests until a time on the loop's clock."""
+        """Send requests until the given time of the event loop's clock."""
         loop = asyncio.get_running_loop()
         while loop.time() < until_s:
             await asyncio.sleep(self.rng.uniform(0.01, 0.08))
             if self.connection is None:
                 self.connection = await self._connect()
             if self.connection is not None:
-                await self._try(loop.time())
+                await self._send_request(loop.time())
         if self.connection is not None:
             self.connection[1].close()
 
@@ -82,23 +86,23 @@
                 body = orjson.loads(answer.partition(b"\r\n\r\n")[2])
                 address = self.rng.choice(body["Addresses"])
                 host, _, port = address.partition(":")
-                opened = await asyncio.open_connection(host, int(port))
-                return (*opened, address)
+                streams = await asyncio.open_connection(host, int(port))
+                return (*streams, address)
         return None
 
-    async def _try(self, now: float) -> None:
+    async def _send_request(self, sent_at_s: float) -> None:
         assert self.connection is not None
-        reader, writer, host = self.connection
-        request_id = f"{self.name}-{next(self.numbers)}"
+        reader, writer, address = self.connection
+        request_id = f"{self.name}-{next(self.request_numbers)}"
         idempotent = self.rng.random() < 0.5
         method, path = ("GET", "status") if idempotent else ("POST", "filing")
-        object_key = self.rng.randrange(9)
+        affinity_key = self.rng.randrange(9)
         parser = response_parser.ResponseParser(is_head=False)
         try:
             writer.write(
                 f"{method} /{path}/1 HTTP/1.1\r\nHost: portal.example\r\n"
                 f"{REQUEST_ID}: {request_id}\r\nContent-Length: 0\r\n"
-                f"Cookie: X-Samphirelug-Affinity-Key={object_key}\r\n"
+                f"Cookie: X-Samphirelug-Affinity-Key={affinity_key}\r\n"
                 f"X-Samphirelug-Deadline-Ms: {DEADLINE_MS}\r\n\r\n".encode()
             )
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -119,10 +123,10 @@
                 request_id=request_id,
                 idempotent=idempotent,
                 status=response.status if response else None,
-                sealed=bool(response and response.get(SEAL)),
+                sealed=bool(response and response.get(RESPONSE_SEAL)),
                 body=response.body if response else b"",
                 answered_id=response.get(REQUEST_ID) if response else None,
-                sent_at_s=now,
-                host=host,
+                sent_at_s=sent_at_s,
+                host=address,
             )
         )
--- a/standins/soak/checks.py
+++ b/standins/soak/checks.py
@@ -1,4 +1,4 @@
-"""Check the promises on what callers and backend servers have seen."""
+"""Check the guarantees against records of callers and backend servers."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -6,13 +6,14 @@
 from standins.soak import callers
 from standins.soak import servers
 
-# Bound of the settings, and what a busy machine adds to it.
+# The drain time in the settings of the entry hosts.
 DRAIN_S = 2.5
+# Scheduling delay that a busy machine may add to it.
 SCHEDULING_S = 1.0
 
 
-class Undisturbed(NamedTuple):
-    """Hold a span in which only planned stops happened."""
+class PlannedPeriod(NamedTuple):
+    """Hold a period in which all disruptions were planned operations."""
 
     start_s: float
     end_s: float
@@ -20,38 +21,56 @@
 
 def violations(
     outcomes: Sequence[callers.Outcome],
-    book: servers.RunBook,
+    run_log: servers.RunLog,
     *,
-    undisturbed: Sequence[Undisturbed],
-    drain_holds: bool,
+    planned_periods: Sequence[PlannedPeriod],
+    check_drain: bool,
 ) -> list[str]:
-    """Return a line for each broken promise."""
+    """Return one line for each violated guarantee.
+
+    A request sent in a planned period must get an answer. With
+    check_drain, requests must not reach a server after its drain time.
+    """
     found: list[str] = []
-    for one in outcomes:
-        runs = book.runs[one.request_id]
-        if not one.idempotent and runs > 1:
-            found.append(f"{one.request_id} may run once and ran {runs} times")
-        if not one.idempotent and one.status in callers.PROMISES and runs:
-            found.append(f"{one.request_id} got {one.status} and was run")
-        if one.status is None:
+    for outcome in outcomes:
+        runs = run_log.runs[outcome.request_id]
+        if not outcome.idempotent and runs > 1:
+            found.append(
+                f"{outcome.request_id} is not idempotent and ran {runs} times"
+            )
+        if (
+            not outcome.idempotent
+            and outcome.status in callers.NOT_RUN_STATUSES
+            and runs
+        ):
+            found.append(
+                f"{outcome.request_id} got {outcome.status} but was run"
+            )
+        if outcome.status is None:
             if any(
-                span.start_s <= one.sent_at_s <= span.end_s
-                for span in undisturbed
+                period.start_s <= outcome.sent_at_s <= period.end_s
+                for period in planned_periods
             ):
-                found.append(f"{one.request_id} was cut off by a planned stop")
+                found.append(
+                    f"{outcome.request_id} was cut off by a planned operation"
+                )
             continue
-        if one.answered_id not in (None, one.request_id):
-            found.append(f"{one.request_id} got {one.answered_id}'s answer")
-        if one.status == 200 and (
-            not one.sealed
-            or one.body != f"answer to {one.request_id}".encode()
+        if outcome.answered_id not in (None, outcome.request_id):
+            found.append(
+                f"{outcome.request_id} got {outcome.answered_id}'s answer"
+            )
+        if outcome.status == 200 and (
+            not outcome.sealed
+            or outcome.body != f"answer to {outcome.request_id}".encode()
             or not runs
         ):
-            found.append(f"{one.request_id} got a success that is not whole")
-    if drain_holds:
+            found.append(
+                f"{outcome.request_id} got 200 without a complete answer"
+            )
+    if check_drain:
         found.extend(
-            f"{request_id} reached {server} {late_s:.1f} s after it left"
-            for server, request_id, late_s in book.after_leaving
+            f"{request_id} reached {server} {late_s:.1f} s into its drain"
+            for server, request_id, late_s in run_log.late_arrivals
             if late_s > DRAIN_S + SCHEDULING_S
         )
     return found
--- a/standins/soak/faults.py
+++ b/standins/soak/faults.py
@@ -1,4 +1,4 @@
-"""Draw faults from a seed and apply them to a running world."""
+"""Apply random faults, drawn from a seed, to a running deployment."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -7,138 +7,147 @@
 
 from standins.soak import world as soak_world
 
+# A fault gets the deployment and how long it lasts in seconds.
 Fault = Callable[[soak_world.World, float], Awaitable[None]]
 
 
-async def terminate(world: soak_world.World, hold_s: float) -> None:
-    """Stop an entry host as planned and start it again."""
+async def terminate(world: soak_world.World, duration_s: float) -> None:
+    """Stop an entry host with SIGTERM and start it again."""
     host = world.rng.choice(world.hosts)
-    host.send(signal.SIGTERM)
+    host.send_signal(signal.SIGTERM)
     await host.wait()
-    await asyncio.sleep(hold_s / 4)
+    await asyncio.sleep(duration_s / 4)
     await host.start()
 
 
-async def kill(world: soak_world.World, hold_s: float) -> None:
-    """Kill an entry host and start it again."""
+async def kill(world: soak_world.World, duration_s: float) -> None:
+    """Kill an entry host with SIGKILL and start it again."""
     host = world.rng.choice(world.hosts)
-    host.send(signal.SIGKILL)
+    host.send_signal(signal.SIGKILL)
     await host.wait()
-    await asyncio.sleep(hold_s / 4)
+    await asyncio.sleep(duration_s / 4)
     await host.start()
 
 
-async def pause(world: soak_world.World, hold_s: float) -> None:
-    """Let an entry host stand still."""
+async def pause(world: soak_world.World, duration_s: float) -> None:
+    """Suspend an entry host's process for a while."""
     host = world.rng.choice(world.hosts)
-    host.send(signal.SIGSTOP)
-    await asyncio.sleep(hold_s)
-    host.send(signal.SIGCONT)
+    host.send_signal(signal.SIGSTOP)
+    await asyncio.sleep(duration_s)
+    host.send_signal(signal.SIGCONT)
 
 
-async def reload(world: soak_world.World, hold_s: float) -> None:
-    """Tell all entry hosts that their settings changed."""
-    del hold_s
+async def reload(world: soak_world.World, duration_s: float) -> None:
+    """Let all entry hosts reload their settings."""
+    del duration_s
     for host in world.hosts:
-        host.send(signal.SIGHUP)
+        host.send_signal(signal.SIGHUP)
 
 
-async def store_away(world: soak_world.World, hold_s: float) -> None:
-    """Let the store be down or slow, or lose answers."""
-    world.book.fault = world.rng.choice(["down", "slow", "lost"])
-    await asyncio.sleep(hold_s)
-    world.book.fault = ""
+async def impair_store(world: soak_world.World, duration_s: float) -> None:
+    """Make the store unavailable or slow, or let it lose answers."""
+    world.store.fault = world.rng.choice(["down", "slow", "lost"])
+    await asyncio.sleep(duration_s)
+    world.store.fault = ""
 
 
-async def forget_history(world: soak_world.World, hold_s: float) -> None:
-    """Let the store forget its history."""
-    del hold_s
-    world.book.forget_history()
+async def compact_store_history(
+    world: soak_world.World, duration_s: float
+) -> None:
+    """Let the store drop its change history, which ends all watches."""
+    del duration_s
+    world.store.compact_history()
 
 
-async def silence(world: soak_world.World, hold_s: float) -> None:
-    """Silence one or both directions of a path."""
-    one = world.rng.choice([*world.store_proxies, *world.proxies.values()])
+async def stall_path(world: soak_world.World, duration_s: float) -> None:
+    """Hold back all bytes of a path in one or both directions."""
+    path = world.rng.choice([*world.store_proxies, *world.proxies.values()])
     directions = world.rng.choice([("up",), ("down",), ("up", "down")])
     for direction in directions:
-        one.open[direction].clear()
-    await asyncio.sleep(hold_s)
+        path.flowing[direction].clear()
+    await asyncio.sleep(duration_s)
     for direction in directions:
-        one.open[direction].set()
+        path.flowing[direction].set()
 
 
-async def delay(world: soak_world.World, hold_s: float) -> None:
-    """Delay a path."""
-    one = world.rng.choice([*world.store_proxies, *world.proxies.values()])
-    one.delay_s = world.rng.uniform(0.02, 0.3)
-    await asyncio.sleep(hold_s)
-    one.delay_s = 0.0
+async def delay_path(world: soak_world.World, duration_s: float) -> None:
+    """Delay the bytes of a path."""
+    path = world.rng.choice([*world.store_proxies, *world.proxies.values()])
+    path.delay_s = world.rng.uniform(0.02, 0.3)
+    await asyncio.sleep(duration_s)
+    path.delay_s = 0.0
 
 
-async def reset(world: soak_world.World, hold_s: float) -> None:
-    """Reset the connections of some paths."""
-    del hold_s
-    for one in world.rng.sample(list(world.proxies.values()), 2):
-        one.reset_all()
+async def reset_connections(
+    world: soak_world.World, duration_s: float
+) -> None:
+    """Reset the connections to two servers."""
+    del duration_s
+    for path in world.rng.sample(list(world.proxies.values()), 2):
+        path.reset_connections()
 
 
-async def crash_server(world: soak_world.World, hold_s: float) -> None:
-    """Let a server end without a word; its entry lapses later."""
+async def crash_server(world: soak_world.World, duration_s: float) -> None:
+    """Crash a server without notice; its entry is deleted later."""
     if len(world.servers) < 3:
         return
     instance_id = world.rng.choice(list(world.servers))
     world.servers.pop(instance_id).crash()
-    await asyncio.sleep(hold_s)
-    world.book.delete("servers", instance_id)
+    await asyncio.sleep(duration_s)
+    world.store.delete("servers", instance_id)
     await world.add_server()
 
 
-async def drain_server(world: soak_world.World, hold_s: float) -> None:
-    """Replace a server as planned."""
+async def replace_server(world: soak_world.World, duration_s: float) -> None:
+    """Add a server, then drain the oldest one."""
     await world.add_server()
-    await asyncio.sleep(hold_s / 4)
+    await asyncio.sleep(duration_s / 4)
     world.drain_server()
 
 
-async def fail_partly(world: soak_world.World, hold_s: float) -> None:
-    """Let a server refuse requests, or lose answers to what it ran."""
+async def fail_some_requests(
+    world: soak_world.World, duration_s: float
+) -> None:
+    """Let a server refuse some requests, or run some without an answer."""
     handler = world.rng.choice(list(world.servers.values())).handler
-    field = world.rng.choice(["refuse", "lose"])
+    field = world.rng.choice(["refusal_rate", "lost_answer_rate"])
     setattr(handler, field, world.rng.uniform(0.1, 0.6))
-    await asyncio.sleep(hold_s)
+    await asyncio.sleep(duration_s)
     setattr(handler, field, 0.0)
 
 
-async def send_stray_answers(world: soak_world.World, hold_s: float) -> None:
-    """Let a server send answers to earlier requests before the own one."""
+async def send_stray_answers(
+    world: soak_world.World, duration_s: float
+) -> None:
+    """Let a server send its previous answer again before some answers."""
     handler = world.rng.choice(list(world.servers.values())).handler
-    handler.stray = world.rng.uniform(0.1, 0.6)
-    await asyncio.sleep(hold_s)
-    handler.stray = 0.0
+    handler.stray_answer_rate = world.rng.uniform(0.1, 0.6)
+    await asyncio.sleep(duration_s)
+    handler.stray_answer_rate = 0.0
 
 
-async def corrupt_store(world: soak_world.World, hold_s: float) -> None:
-    """Store entries that cannot be read, and an old configuration."""
-    garbage: list[object] = [
+async def corrupt_store(world: soak_world.World, duration_s: float) -> None:
+    """Store malformed server entries and an unusable configuration."""
+    malformed: list[object] = [
         "cut sho",
         {"Address": 7, "Info": None},
         {"Address": "127.0.0.1:1", "Info": {"Service": "desk"}},
         [],
     ]
-    for number, spec in enumerate(garbage):
-        world.book.put("servers", f"garbage-{number}", spec)
-    world.book.put(
+    for number, spec in enumerate(malformed):
+        world.store.put("servers", f"garbage-{number}", spec)
+    world.store.put(
         "config", "main", world.rng.choice([{"Version": "1"}, "cut sho"])
     )
-    await asyncio.sleep(hold_s)
+    await asyncio.sleep(duration_s)
     world.change_configuration()
-    for number in range(len(garbage)):
-        world.book.delete("servers", f"garbage-{number}")
+    for number in range(len(malformed)):
+        world.store.delete("servers", f"garbage-{number}")
 
 
-async def configure(world: soak_world.World, hold_s: float) -> None:
-    """Change the configuration."""
-    del hold_s
+async def configure(world: soak_world.World, duration_s: float) -> None:
+    """Write a new version of the configuration."""
+    del duration_s
     world.change_configuration()
 
 
@@ -147,26 +156,26 @@
     kill,
     pause,
     reload,
-    store_away,
-    forget_history,
-    silence,
-    delay,
-    reset,
+    impair_store,
+    compact_store_history,
+    stall_path,
+    delay_path,
+    reset_connections,
     crash_server,
-    drain_server,
-    fail_partly,
+    replace_server,
+    fail_some_requests,
     send_stray_answers,
     corrupt_store,
     configure,
 )
-# What an operator does; requests must not be cut off by these alone.
-PLANNED: tuple[Fault, ...] = (terminate, reload, drain_server, configure)
+# Planned operations; these alone must not cut off any request.
+PLANNED: tuple[Fault, ...] = (terminate, reload, replace_server, configure)
 
 
 async def run(
     world: soak_world.World, *, seconds: float, kinds: tuple[Fault, ...]
 ) -> list[str]:
-    """Apply faults in series and overlapping; return their names."""
+    """Start faults at random times, also overlapping; return their names."""
     loop = asyncio.get_running_loop()
     end_s = loop.time() + seconds
     applied: list[str] = []
@@ -174,13 +183,16 @@
     while loop.time() < end_s:
         fault = world.rng.choice(kinds)
         applied.append(fault.__name__)
-        hold_s = world.rng.uniform(0.5, 4.0)
-        running.append(asyncio.ensure_future(_apply(fault, world, hold_s)))
+        duration_s = world.rng.uniform(0.5, 4.0)
+        running.append(asyncio.ensure_future(_apply(fault, world, duration_s)))
         await asyncio.sleep(world.rng.uniform(0.2, 2.5))
     await asyncio.gather(*running)
     return applied
 
 
-async def _apply(fault: Fault, world: soak_world.World, hold_s: float) -> None:
-    # Two faults may meet at one host; a host that ended is started again.
-    await fault(world, hold_s)
+async def _apply(
+    fault: Fault, world: soak_world.World, duration_s: float
+) -> None:
+    # Several faults may hit the same host at once; HostProcess.start
+    # ignores a host that another fault has already restarted.
+    await fault(world, duration_s)
--- a/standins/soak/proxy.py
+++ b/standins/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Carry connections on loopback, and delay, cut, silence or reset them."""
+"""Forward TCP connections on loopback, and delay, stall or reset them."""
 
 import asyncio
 import contextlib
@@ -7,15 +7,16 @@
 
 
 class FaultyProxy:
-    """Stand between a client and one address."""
+    """Forward connections to one target address and inject faults."""
 
     def __init__(self, *, target: tuple[str, int]) -> None:
         self.target = target
         self.port = 0
         self.delay_s = 0.0
-        # Bytes pass in the directions whose event is set.
-        self.open = {"up": asyncio.Event(), "down": asyncio.Event()}
-        for event in self.open.values():
+        # Bytes of a direction are held back while its event is not set; "up"
+        # is from the client to the target.
+        self.flowing = {"up": asyncio.Event(), "down": asyncio.Event()}
+        for event in self.flowing.values():
             event.set()
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
@@ -25,8 +26,8 @@
         self.server = await asyncio.start_server(self._accept, host, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def reset_all(self) -> None:
-        """Reset the open connections."""
+    def reset_connections(self) -> None:
+        """Close the open connections with a TCP reset."""
         for writer in list(self.writers):
             sock = writer.get_extra_info("socket")
             with contextlib.suppress(OSError):
@@ -48,15 +49,15 @@
         self.writers |= {writer, up_writer}
         try:
             await asyncio.gather(
-                self._carry("up", reader, up_writer),
-                self._carry("down", up_reader, writer),
+                self._forward("up", reader, up_writer),
+                self._forward("down", up_reader, writer),
             )
         finally:
-            for one in (writer, up_writer):
-                self.writers.discard(one)
-                one.close()
+            for each in (writer, up_writer):
+                self.writers.discard(each)
+                each.close()
 
-    async def _carry(
+    async def _forward(
         self,
         direction: str,
         reader: asyncio.StreamReader,
@@ -66,7 +67,7 @@
             while data := await reader.read(65536):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                await self.open[direction].wait()
+                await self.flowing[direction].wait()
                 writer.write(data)
                 await writer.drain()
         writer.close()
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand in for backend servers, and record what they run."""
+"""Fake backend servers that record which requests they run."""
 
 import asyncio
 import collections
@@ -13,38 +13,41 @@
 from standins import forwarding as build
 
 REQUEST_ID = "x-samphirelug-request-id"
-EXPECTED = "x-samphirelug-expected-instance"
+EXPECTED_INSTANCE = "x-samphirelug-expected-instance"
 
 
-class RunBook:
-    """Record the runs of all servers."""
+class RunLog:
+    """Record which requests ran on any of the servers."""
 
     def __init__(self) -> None:
+        # Number of runs by request ID.
         self.runs: collections.Counter[str] = collections.Counter()
-        # Arrivals at servers that were leaving: server, request, seconds.
-        self.after_leaving: list[tuple[str, str, float]] = []
+        # Requests that reached a server after its drain began: server,
+        # request ID, seconds since then.
+        self.late_arrivals: list[tuple[str, str, float]] = []
 
 
 class WorkHandler(io_pipeline.RequestHandler):
-    """Run requests in slots."""
+    """Run requests in a fixed number of slots, with faults on demand."""
 
     def __init__(
-        self, *, instance_id: str, book: RunBook, rng: random.Random
+        self, *, instance_id: str, run_log: RunLog, rng: random.Random
     ) -> None:
         self.instance_id = instance_id
-        self.book = book
+        self.run_log = run_log
         self.rng = rng
         self.running = 0
         self.slots = 4
         self.work_s = 0.03
-        # Part of the requests that are refused, or run without an answer.
-        self.refuse = 0.0
-        self.lose = 0.0
-        # Part of the answers that follow a second answer to an earlier
-        # request.
-        self.stray = 0.0
-        self.answered_id = ""
-        self.left_at_s: float | None = None
+        # Fraction of requests that are refused as not run.
+        self.refusal_rate = 0.0
+        # Fraction of requests that run but are not answered.
+        self.lost_answer_rate = 0.0
+        # Fraction of answers that are preceded by a second answer to the
+        # request answered last.
+        self.stray_answer_rate = 0.0
+        self.last_answered_id = ""
+        self.drain_started_s: float | None = None
 
     def may_overlap(self, message: request_parser.CallerMessage) -> bool:
         """Serve one request at a time on a connection."""
@@ -52,62 +55,68 @@
         return False
 
     def ends_with_caller(self, message: request_parser.CallerMessage) -> bool:
-        """Drop the request when its connection closes."""
+        """Cancel the request when its connection closes."""
         del message
         return True
 
     async def handle(
         self, message: request_parser.CallerMessage
     ) -> http_model.Response:
-        """Run a request, or say that it was not run."""
+        """Run a request, or refuse it as not run."""
         request_id = message.get(REQUEST_ID) or ""
         load = f"{self.running},0,{self.slots}"
         headers = [
             (REQUEST_ID, request_id),
             ("X-Samphirelug-Server-Load", load),
         ]
-        if message.get(EXPECTED) != self.instance_id:
+        if message.get(EXPECTED_INSTANCE) != self.instance_id:
             return http_model.Response(421, "Misdirected", (), b"")
-        if self.left_at_s is not None:
-            late_s = time.monotonic() - self.left_at_s
-            self.book.after_leaving.append(
+        if self.drain_started_s is not None:
+            late_s = time.monotonic() - self.drain_started_s
+            self.run_log.late_arrivals.append(
                 (self.instance_id, request_id, late_s)
             )
-        if self.running >= self.slots or self.rng.random() < self.refuse:
+        if self.running >= self.slots or self.rng.random() < self.refusal_rate:
             headers.append(("X-Samphirelug-Not-Executed", "1"))
             return http_model.Response(503, "Full", tuple(headers), b"")
-        self.book.runs[request_id] += 1
+        self.run_log.runs[request_id] += 1
         self.running += 1
         try:
             await asyncio.sleep(self.work_s)
         finally:
             self.running -= 1
-        if self.rng.random() < self.lose:
-            # The caller of this server gives up or the connection is cut.
+        if self.rng.random() < self.lost_answer_rate:
+            # Outlasts the timeout of the routes: the entry host gives up and
+            # closes the connection, which cancels this handler.
             await asyncio.sleep(5.0)
         headers.append(("X-Samphirelug-Response-Seal", "seal"))
         headers.append(("Keep-Alive", "timeout=10"))
         body = f"answer to {request_id}".encode()
         reason = "OK"
-        if self.answered_id and self.rng.random() < self.stray:
-            # The listener writes one response; the stray one goes in front
-            # of it as a part of the reason phrase.
+        if (
+            self.last_answered_id
+            and self.rng.random() < self.stray_answer_rate
+        ):
+            # The listener writes exactly one response, so the stray one is
+            # placed in front of it, inside the reason phrase.
             reason = (
-                f"OK\r\n{REQUEST_ID}: {self.answered_id}\r\n"
+                f"OK\r\n{REQUEST_ID}: {self.last_answered_id}\r\n"
                 "X-Samphirelug-Response-Seal: seal\r\n"
                 "Content-Length: 5\r\n\r\nstrayHTTP/1.1 200 OK"
             )
-        self.answered_id = request_id
+        self.last_answered_id = request_id
         return http_model.Response(200, reason, tuple(headers), body)
 
 
 class StandinServer:
-    """Listen for requests as one incarnation of a server."""
+    """Listen for requests as one server incarnation."""
 
     def __init__(
-        self, *, instance_id: str, book: RunBook, rng: random.Random
+        self, *, instance_id: str, run_log: RunLog, rng: random.Random
     ) -> None:
-        self.handler = WorkHandler(instance_id=instance_id, book=book, rng=rng)
+        self.handler = WorkHandler(
+            instance_id=instance_id, run_log=run_log, rng=rng
+        )
         self.listener = io_pipeline.CallerListener(
             handler=self.handler,
             limits=lambda: build.LIMITS._replace(
--- a/standins/soak/store.py
+++ b/standins/soak/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's metadata store, with faults on demand."""
+"""Fake the platform's metadata store over HTTP, with faults on demand."""
 
 import asyncio
 import random
@@ -11,8 +11,8 @@
 ROUTE = r"/-/objects/([^/]+)(?:/([^/]+))?"
 
 
-class ObjectBook:
-    """Hold objects, their history and the faults in force."""
+class StoreState:
+    """Hold the objects, their change history and the active fault."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
@@ -20,9 +20,11 @@
         self.objects: dict[tuple[str, str], dict[str, Any]] = {}
         # Revision, kind and event of each change.
         self.history: list[tuple[int, str, dict[str, Any]]] = []
-        self.forgotten = 0
+        # Watches that start before this revision get status 410.
+        self.oldest_watchable = 0
         self.changed = asyncio.Event()
-        # down, slow, lost or none.
+        # "down": 503 for each call; "slow": 0.3 s before each answer; "lost":
+        # half of the writes take effect without an answer; empty for none.
         self.fault = ""
 
     def put(self, kind: str, name: str, spec: object) -> dict[str, Any]:
@@ -49,8 +51,8 @@
         return {
             "items": [
                 stored
-                for (one, _), stored in sorted(self.objects.items())
-                if one == kind
+                for (stored_kind, _), stored in sorted(self.objects.items())
+                if stored_kind == kind
             ],
             "HasMore": False,
             "AsOf": self.revision,
@@ -60,38 +62,38 @@
         """Return the events of a kind after a revision."""
         return [
             event
-            for at, one, event in self.history
-            if one == kind and at > revision
+            for event_revision, event_kind, event in self.history
+            if event_kind == kind and event_revision > revision
         ]
 
-    def forget_history(self) -> None:
-        """Drop the history, and cut the watches."""
+    def compact_history(self) -> None:
+        """Compact the history; end running watches with status 410."""
         self.history.clear()
-        self.forgotten = self.revision
-        self._wake()
+        self.oldest_watchable = self.revision
+        self._wake_watches()
 
     def _record(self, kind: str, event: dict[str, Any]) -> None:
         self.history.append((self.revision, kind, event))
-        self._wake()
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class ObjectHandler(web.RequestHandler):
-    """Serve the store's calls."""
+    """Serve the HTTP calls of the store."""
 
-    def initialize(self, book: ObjectBook) -> None:
-        """Keep the objects."""
-        self.book = book
+    def initialize(self, state: StoreState) -> None:
+        """Set the state that all handlers share."""
+        self.state = state
 
     async def prepare(self) -> None:
-        """Apply the fault in force."""
-        if self.book.fault == "down":
+        """Apply the active fault."""
+        if self.state.fault == "down":
             self.set_status(503)
             self.finish()
-        elif self.book.fault == "slow":
+        elif self.state.fault == "slow":
             await asyncio.sleep(0.3)
 
     async def get(self, kind: str, name: str | None) -> None:
@@ -99,22 +101,22 @@
         del name
         after = self.get_query_argument("Watch", "")
         if not after:
-            self._answer(self.book.listing(kind))
+            self._respond(self.state.listing(kind))
             return
         deadline_s = asyncio.get_running_loop().time() + (
             int(self.get_query_argument("WaitMs", "0")) / 1000
         )
         while True:
-            if int(after) < self.book.forgotten:
+            if int(after) < self.state.oldest_watchable:
                 self.set_status(410)
                 return
-            events = self.book.events_after(kind, int(after))
-            left_s = deadline_s - asyncio.get_running_loop().time()
-            if events or left_s <= 0:
-                self._answer({"events": events, "AsOf": self.book.revision})
+            events = self.state.events_after(kind, int(after))
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if events or remaining_s <= 0:
+                self._respond({"events": events, "AsOf": self.state.revision})
                 return
             try:
-                await asyncio.wait_for(self.book.changed.wait(), left_s)
+                await asyncio.wait_for(self.state.changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
@@ -123,34 +125,34 @@
         del name
         document = orjson.loads(self.request.body)
         name = document["Metadata"]["Name"]
-        if (kind, name) in self.book.objects:
+        if (kind, name) in self.state.objects:
             self.set_status(409)
-            self._answer(self.book.objects[kind, name])
+            self._respond(self.state.objects[kind, name])
             return
-        self._written(self.book.put(kind, name, document["Spec"]))
+        self._respond_to_write(self.state.put(kind, name, document["Spec"]))
 
     def put(self, kind: str, name: str) -> None:
         """Replace an object."""
         document = orjson.loads(self.request.body)
-        self._written(self.book.put(kind, name, document["Spec"]))
+        self._respond_to_write(self.state.put(kind, name, document["Spec"]))
 
     def delete(self, kind: str, name: str) -> None:
         """Remove an object."""
-        self.book.delete(kind, name)
-        self._written({})
+        self.state.delete(kind, name)
+        self._respond_to_write({})
 
-    def _written(self, document: dict[str, Any]) -> None:
-        if self.book.fault == "lost" and self.book.rng.random() < 0.5:
+    def _respond_to_write(self, document: dict[str, Any]) -> None:
+        if self.state.fault == "lost" and self.state.rng.random() < 0.5:
             self.request.connection.stream.close()  # type: ignore[union-attr]
             return
-        self._answer(document)
+        self._respond(document)
 
-    def _answer(self, document: dict[str, Any]) -> None:
+    def _respond(self, document: dict[str, Any]) -> None:
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(document))
 
 
-def serve(book: ObjectBook, *, host: str, port: int) -> httpserver.HTTPServer:
-    """Listen for the store's calls."""
-    application = web.Application([(ROUTE, ObjectHandler, {"book": book})])
+def serve(state: StoreState, *, host: str, port: int) -> httpserver.HTTPServer:
+    """Start an HTTP server for the state."""
+    application = web.Application([(ROUTE, ObjectHandler, {"state": state})])
     return application.listen(port, host)
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -1,4 +1,4 @@
-"""Start real entry hosts against stand-ins of store and servers."""
+"""Start real entry hosts against fakes of the store and the servers."""
 
 import asyncio
 import os
@@ -18,6 +18,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 READY_TIMEOUT_S = 60.0
 READY_POLL_S = 0.1
+# Region by availability zone.
 ZONES = {"a1": "a", "a2": "a"}
 
 
@@ -30,17 +31,18 @@
 
 
 class HostProcess:
-    """Hold one entry host's settings and process."""
+    """Run one entry host as a process of its own."""
 
     def __init__(
         self, *, number: int, folder: pathlib.Path, store_address: str
     ) -> None:
         self.name = f"host-{number}"
-        # Soaks that run at the same time must not share addresses.
+        # The process ID keeps soaks that run at the same time from sharing
+        # addresses.
         network, subnet = divmod(os.getpid() % 50_000, 250)
         self.ip = f"127.{20 + network}.{subnet}.{10 + number}"
         self.folder = folder
-        self.directory = free_port(self.ip)
+        self.directory_port = free_port(self.ip)
         self.process: asyncio.subprocess.Process | None = None
         self.settings = {
             "NodeName": self.name,
@@ -51,7 +53,7 @@
             "Listen": {
                 "Front": f"{self.ip}:{free_port(self.ip)}",
                 "Ready": f"{self.ip}:{free_port(self.ip)}",
-                "Directory": f"{self.ip}:{self.directory}",
+                "Directory": f"{self.ip}:{self.directory_port}",
             },
             "PortRange": [17660, 17675],
             "Bounds": {
@@ -71,7 +73,7 @@
         }
 
     async def start(self) -> None:
-        """Start the process, unless another fault has started it."""
+        """Start the process unless an overlapping fault has started it."""
         if self.process is not None and self.process.returncode is None:
             return
         path = self.folder / f"{self.name}.json"
@@ -86,50 +88,50 @@
         )
         log.close()
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def wait(self) -> int:
-        """Return the exit code of the process."""
+        """Wait for the process to end and return its exit code."""
         assert self.process is not None
         return await self.process.wait()
 
 
 class World:
-    """Hold the store, the servers and the entry hosts."""
+    """Run a store, backend servers and entry hosts for one soak."""
 
     def __init__(
         self, *, folder: pathlib.Path, rng: random.Random, hosts: int
     ) -> None:
         self.folder = folder
         self.rng = rng
-        self.book = store.ObjectBook(rng=rng)
-        self.runs = servers.RunBook()
+        self.store = store.StoreState(rng=rng)
+        self.run_log = servers.RunLog()
         self.servers: dict[str, servers.StandinServer] = {}
         self.proxies: dict[str, proxy.FaultyProxy] = {}
         self.store_proxies: list[proxy.FaultyProxy] = []
         self.hosts: list[HostProcess] = []
         self.host_count = hosts
-        self.started = 0
+        self.servers_started = 0
         self.version = 0
 
     async def start(self) -> None:
         """Start everything and wait until all hosts are ready."""
         port = free_port("127.0.0.1")
-        store.serve(self.book, host="127.0.0.1", port=port)
+        store.serve(self.store, host="127.0.0.1", port=port)
         self.change_configuration()
         for _ in range(4):
             await self.add_server()
         for number in range(self.host_count):
-            one = proxy.FaultyProxy(target=("127.0.0.1", port))
-            await one.start("127.0.0.1")
-            self.store_proxies.append(one)
+            store_proxy = proxy.FaultyProxy(target=("127.0.0.1", port))
+            await store_proxy.start("127.0.0.1")
+            self.store_proxies.append(store_proxy)
             host = HostProcess(
                 number=number,
                 folder=self.folder,
-                store_address=f"127.0.0.1:{one.port}",
+                store_address=f"127.0.0.1:{store_proxy.port}",
             )
             self.hosts.append(host)
             await host.start()
@@ -137,36 +139,38 @@
             await self._wait_ready(host)
 
     async def stop(self) -> list[int]:
-        """Stop the hosts that this world started; return exit codes."""
+        """Stop the entry hosts and return their exit codes."""
         for host in self.hosts:
-            host.send(signal.SIGCONT)
-            host.send(signal.SIGTERM)
+            host.send_signal(signal.SIGCONT)
+            host.send_signal(signal.SIGTERM)
         codes = []
         for host in self.hosts:
             try:
                 codes.append(await asyncio.wait_for(host.wait(), 10))
             except TimeoutError:
-                host.send(signal.SIGKILL)
+                host.send_signal(signal.SIGKILL)
                 codes.append(await host.wait())
         return codes
 
     async def add_server(self) -> None:
-        """Start a server behind a proxy and enter it in the store."""
-        self.started += 1
-        instance_id = f"i-{self.started}"
+        """Start a server behind a proxy and register it in the store."""
+        self.servers_started += 1
+        instance_id = f"i-{self.servers_started}"
         server = servers.StandinServer(
-            instance_id=instance_id, book=self.runs, rng=self.rng
+            instance_id=instance_id, run_log=self.run_log, rng=self.rng
         )
         server.start("127.0.0.1")
-        front = proxy.FaultyProxy(target=("127.0.0.1", server.listener.port))
-        await front.start("127.0.0.1")
+        server_proxy = proxy.FaultyProxy(
+            target=("127.0.0.1", server.listener.port)
+        )
+        await server_proxy.start("127.0.0.1")
         self.servers[instance_id] = server
-        self.proxies[instance_id] = front
-        self.enter(instance_id, "ready")
+        self.proxies[instance_id] = server_proxy
+        self.write_server_entry(instance_id, "ready")
 
-    def enter(self, instance_id: str, state: str) -> None:
-        """Write a server's entry."""
-        self.book.put(
+    def write_server_entry(self, instance_id: str, state: str) -> None:
+        """Write the server's entry in the store."""
+        self.store.put(
             "servers",
             instance_id,
             {
@@ -182,11 +186,11 @@
         )
 
     def drain_server(self) -> None:
-        """Let the oldest server leave."""
+        """Mark the oldest server as draining."""
         instance_id = next(iter(self.servers))
         server = self.servers.pop(instance_id)
-        self.enter(instance_id, "draining")
-        server.handler.left_at_s = time.monotonic()
+        self.write_server_entry(instance_id, "draining")
+        server.handler.drain_started_s = time.monotonic()
 
     def change_configuration(self) -> None:
         """Write the next version of the configuration."""
@@ -203,7 +207,7 @@
             }
             for name, kind in (("status", "safe"), ("filing", "unsafe"))
         ]
-        self.book.put(
+        self.store.put(
             "config",
             "main",
             {
@@ -224,7 +228,7 @@
             if await self._is_ready(host):
                 return
             await asyncio.sleep(READY_POLL_S)
-        raise TimeoutError(f"{host.name} is not ready")
+        raise TimeoutError(f"{host.name} did not become ready in time")
 
     async def _is_ready(self, host: HostProcess) -> bool:
         listen = host.settings["Listen"]
