--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -41,7 +41,7 @@
                     f"{self.place.running.operator_url(p.name)}"
                     "/v1/catalogue/status"
                 )
-                for p in self.place.places
+                for p in self.place.hosts
             )
         )
         return [int(answer["position"]) for answer in answers]
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -85,15 +85,15 @@
         }
         # Zone a of each region first, so that hosts spread evenly.
         zones = sorted(self.region_of_zone, key=lambda zone: zone[-1])
-        self.places = [
-            fleet.HostPlace(
+        self.hosts = [
+            fleet.HostLocation(
                 f"eh-{index}-{zones[index % len(zones)]}",
                 zones[index % len(zones)],
                 self.region_of_zone[zones[index % len(zones)]],
             )
             for index in range(hosts)
         ]
-        self.running = fleet.Fleet(places=self.places, host_flags=host_flags)
+        self.running = fleet.Fleet(hosts=self.hosts, host_flags=host_flags)
         self.usages: list[Usage] = []
         self.generators = 0
         # What servers saw that have been killed since.
@@ -138,11 +138,11 @@
         await asyncio.gather(
             *(
                 self.running.start_host(place.name, wait=False)
-                for place in self.places
+                for place in self.hosts
             )
         )
         await self.apply(self.entries, "--wait")
-        for place in self.places:
+        for place in self.hosts:
             await self.running.wait_host_ready(place.name)
         return self
 
@@ -168,7 +168,7 @@
         document.write_text(yaml.safe_dump_all(entries))
         words = [
             word
-            for place in self.places
+            for place in self.hosts
             for word in (
                 "--entry-host-url",
                 self.running.operator_url(place.name),
@@ -274,9 +274,9 @@
         regions_over = shifts_over = 0
         for region, entry in self.regions.items():
             cap = entry["shift_cap"]
-            most = checks.most_in_flight(reports, region)
+            most = checks.peak_in_flight(reports, region)
             regions_over += most > entry["max_in_flight"]
-            shifted = checks.most_shifted(reports, region, cap["interval_s"])
+            shifted = checks.peak_shifted(reports, region, cap["interval_s"])
             shifts_over += shifted > cap["requests"]
         return {
             "overfull servers": len(checks.overfull_servers(reports)),
@@ -318,8 +318,8 @@
         return most
 
     def _nearest(self, region: str) -> list[str]:
-        near = [p.name for p in self.places if p.region == region]
-        return near + [p.name for p in self.places if p.region != region]
+        near = [p.name for p in self.hosts if p.region == region]
+        return near + [p.name for p in self.hosts if p.region != region]
 
     async def _sample(self) -> None:
         while True:
@@ -339,7 +339,7 @@
                 baseline.BaselineHost(
                     *place, url=self.running.caller_url(place.name)
                 )
-                for place in self.places
+                for place in self.hosts
             ],
             servers={
                 name: [
@@ -350,11 +350,11 @@
                 ]
                 for name, work in self.works.items()
             },
-            connections=connections // len(self.places),
+            connections=connections // len(self.hosts),
         )
         written = directory / "baseline.setup"
         written.write_text(json.dumps(baseline.SETUP.dump_python(setup)))
-        for place in self.places:
+        for place in self.hosts:
             port = self.running.ports[place.name].callers[0]
             await self.running.start_module(
                 place.name,
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -78,7 +78,7 @@
             await drain_server(place, names[index * step])
             for index in range(DRAINED_SERVERS)
         ]
-        stopped = place.places[0].name
+        stopped = place.hosts[0].name
         stop_s = TIMER.monotonic()
         place.running.signal(stopped, signal.SIGTERM)
         code = await place.running.wait_exit(stopped)
--- a/benchmarks/headroom.py
+++ b/benchmarks/headroom.py
@@ -98,7 +98,7 @@
 ) -> None:
     """Send all load of the first region to one of its entry hosts."""
     home = next(iter(place.regions))
-    host = next(p.name for p in place.places if p.region == home)
+    host = next(p.name for p in place.hosts if p.region == home)
     streams = []
     offered = 0.0
     for name, work in place.works.items():
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -82,8 +82,8 @@
 
 async def measure(requests: int, service_s: float) -> None:
     """Run all measurements of the path."""
-    places = demo.PLACES
-    async with fleet.Fleet(places=places) as running:
+    places = demo.HOSTS
+    async with fleet.Fleet(hosts=places) as running:
         names = [
             f"{z}-{i}"
             for zs in demo.REGIONS.values()
--- a/benchmarks/region_loss.py
+++ b/benchmarks/region_loss.py
@@ -92,7 +92,7 @@
         )
         await TIMER.sleep(start_at_s + KILL_S - TIMER.monotonic())
         await place.keep_reports(lost)
-        victims = [p.name for p in place.places if p.region == lost]
+        victims = [p.name for p in place.hosts if p.region == lost]
         for victim in (f"servers-{lost}", *victims):
             place.running.signal(victim, signal.SIGKILL)
         for victim in (f"servers-{lost}", *victims):
--- a/standins/checks.py
+++ b/standins/checks.py
@@ -71,7 +71,7 @@
     ]
 
 
-def lost_without_code(calls: Iterable[Call]) -> list[Call]:
+def calls_without_result(calls: Iterable[Call]) -> list[Call]:
     """Return the calls that got neither an answer nor a refusal."""
     return [call for call in calls if call.result.status == 0]
 
@@ -85,7 +85,7 @@
     }
 
 
-def most_at_once(intervals: Iterable[Interval]) -> int:
+def peak_overlap(intervals: Iterable[Interval]) -> int:
     """Return the largest number of intervals that overlap."""
     steps: list[tuple[float, int]] = []
     for interval in intervals:
@@ -99,9 +99,9 @@
     return most
 
 
-def most_in_flight(reports: Reports, region: str) -> int:
+def peak_in_flight(reports: Reports, region: str) -> int:
     """Return the most requests that a region's servers had at once."""
-    return most_at_once(
+    return peak_overlap(
         Interval(arrival["at_s"], arrival["ended_at_s"])
         for name, report in reports.items()
         if name.startswith(region)
@@ -109,9 +109,9 @@
     )
 
 
-def most_shifted(reports: Reports, region: str, window_s: float) -> int:
+def peak_shifted(reports: Reports, region: str, window_s: float) -> int:
     """Return the most arrivals from other regions in any time window."""
-    return most_at_once(
+    return peak_overlap(
         Interval(arrival["at_s"], arrival["at_s"] + window_s)
         for name, report in reports.items()
         if name.startswith(region)
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -14,10 +14,10 @@
 from standins import caller
 from standins import fleet
 
-PLACES = [
-    fleet.HostPlace("eh-tallinn", "tallinn-a", "tallinn"),
-    fleet.HostPlace("eh-tallinn-2", "tallinn-b", "tallinn"),
-    fleet.HostPlace("eh-tartu", "tartu-a", "tartu"),
+HOSTS = [
+    fleet.HostLocation("eh-tallinn", "tallinn-a", "tallinn"),
+    fleet.HostLocation("eh-tallinn-2", "tallinn-b", "tallinn"),
+    fleet.HostLocation("eh-tartu", "tartu-a", "tartu"),
 ]
 REGIONS = {
     "tallinn": ["tallinn-a", "tallinn-b"],
@@ -93,21 +93,21 @@
 
 async def run_demo(program: list[str] | None) -> int:
     """Start everything, send requests, stop; return the exit code."""
-    async with fleet.Fleet(places=PLACES, program=program) as running:
+    async with fleet.Fleet(hosts=HOSTS, program=program) as running:
         names = [
             f"{z}-{i}" for zs in REGIONS.values() for z in zs for i in "12"
         ]
         await running.start_servers("servers", names)
         await asyncio.gather(
-            *(running.start_host(p.name, wait=False) for p in PLACES)
+            *(running.start_host(p.name, wait=False) for p in HOSTS)
         )
         await apply_catalogue(running)
-        for place in PLACES:
+        for place in HOSTS:
             await running.wait_host_ready(place.name)
         await send_requests(running)
-        for place in PLACES:
+        for place in HOSTS:
             running.signal(place.name, signal.SIGINT)
-        codes = [await running.wait_exit(place.name) for place in PLACES]
+        codes = [await running.wait_exit(place.name) for place in HOSTS]
         print(f"entry hosts ended with {codes}")
         return 0 if codes == [0, 0, 0] else 1
 
@@ -119,7 +119,7 @@
     path.write_text(yaml.safe_dump_all(entries))
     words = [
         word
-        for name in running.places
+        for name in running.hosts
         for word in ("--entry-host-url", running.operator_url(name))
     ]
     code, out, err = await running.command(
@@ -133,14 +133,14 @@
     )
     print(out or err)
     if code != 0:
-        logs = "".join(running.log_text(name) for name in running.places)
+        logs = "".join(running.log_text(name) for name in running.hosts)
         raise RuntimeError(f"catalogue apply ended with {code}: {err}{logs}")
 
 
 async def send_requests(running: fleet.Fleet) -> None:
     """Send requests of each rank from both regions, and bad ones."""
     timer_service = timer.LoopTimerService()
-    urls = [running.caller_url(name) for name in running.places]
+    urls = [running.caller_url(name) for name in running.hosts]
     for place in REGIONS:
         client = caller.Caller(
             lookup_urls=urls, place=place, timer_service=timer_service
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -27,7 +27,7 @@
 _GIVEN_PORTS: set[int] = set()
 
 
-class HostPlace(NamedTuple):
+class HostLocation(NamedTuple):
     """Say where an entry host of the fleet stands."""
 
     name: str
@@ -69,11 +69,11 @@
     def __init__(
         self,
         *,
-        places: list[HostPlace],
+        hosts: list[HostLocation],
         program: list[str] | None = None,
         host_flags: list[str] | None = None,
     ) -> None:
-        self.places = {place.name: place for place in places}
+        self.hosts = {place.name: place for place in hosts}
         # The command that starts samphirelug.
         self.is_binary = program is not None
         self.program = program or [sys.executable, "-m", "samphirelug"]
@@ -82,7 +82,7 @@
         self.client = httpclient.AsyncHTTPClient(force_instance=True)
         self.directory = tempfile.TemporaryDirectory(prefix="samphirelug-")
         self.store_port = free_ports(1)[0]
-        self.ports = {name: self._host_ports() for name in self.places}
+        self.ports = {name: self._host_ports() for name in self.hosts}
         self.secrets: dict[str, str] = {}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.server_ports: dict[str, int] = {}
@@ -167,19 +167,19 @@
             wait_ready=True,
         )
 
-    def add_host(self, place: HostPlace, *, secret: str = SECRET) -> None:
+    def add_host(self, place: HostLocation, *, secret: str = SECRET) -> None:
         """Add an entry host that the others are not told of."""
-        self.places[place.name] = place
+        self.hosts[place.name] = place
         self.ports[place.name] = self._host_ports()
         self.secrets[place.name] = secret
 
     async def start_host(self, name: str, *, wait: bool = True) -> None:
         """Start an entry host and wait until it is ready."""
-        place = self.places[name]
+        place = self.hosts[name]
         ports = self.ports[name]
         seeds = [
             f"ws://127.0.0.1:{self.ports[other].peer}"
-            for other in self.places
+            for other in self.hosts
             if other != name
         ]
         flags = {
@@ -224,7 +224,7 @@
             if self.timer.monotonic() > end_s:
                 logs = "\n".join(
                     f"{name}: {self.log_text(name)[-1500:]}"
-                    for name in self.places
+                    for name in self.hosts
                 )
                 raise TimeoutError(f"not reached: {what}\n{logs}")
             await self.timer.sleep(POLL_INTERVAL_S)
--- a/standins/walkthrough.py
+++ b/standins/walkthrough.py
@@ -149,11 +149,11 @@
     wrapper.chmod(0o755)
     entries = demo.demo_catalogue(running.server_ports)
     (directory / "demo.yaml").write_text(yaml.safe_dump_all(entries))
-    for place in running.places.values():
+    for place in running.hosts.values():
         ports = running.ports[place.name]
         peers = [
             f"ws://127.0.0.1:{running.ports[other].peer}"
-            for other in running.places
+            for other in running.hosts
             if other != place.name
         ]
         settings = {
@@ -180,7 +180,7 @@
         )
     for name, process in running.processes.items():
         (directory / f"{name}.pid").write_text(f"{process.pid}\n")
-    urls = [running.operator_url(name) for name in running.places]
+    urls = [running.operator_url(name) for name in running.hosts]
     server = f"http://127.0.0.1:{running.server_ports['tallinn-a-1']}"
     return {
         **os.environ,
@@ -233,7 +233,7 @@
     return shown, ""
 
 
-async def walk(
+async def run_walkthroughs(
     *, first: int = 0, last: int = 99, program: list[str] | None = None
 ) -> int:
     """Carry out the sections in order; return how many were."""
@@ -243,7 +243,7 @@
         # Section 1 starts the entry hosts, which all others need.
         if section.number == 1 or first <= section.number <= last
     ]
-    async with fleet.Fleet(places=demo.PLACES, program=program) as running:
+    async with fleet.Fleet(hosts=demo.HOSTS, program=program) as running:
         for region, zones in demo.REGIONS.items():
             names = [f"{zone}-{number}" for zone in zones for number in "12"]
             await running.start_servers(f"servers-{region}", names)
@@ -255,7 +255,7 @@
                 await carry_out(section, shell=shell, directory=directory)
             check_logs(running)
         except MismatchError:
-            for name in running.places:
+            for name in running.hosts:
                 print(f"{name}: {running.log_text(name)[-1500:]}")
             raise
         finally:
@@ -266,7 +266,7 @@
 
 def check_logs(running: fleet.Fleet) -> None:
     """Check that logs are JSON and have no secret."""
-    for name in running.places:
+    for name in running.hosts:
         for line in running.log_text(name).splitlines():
             if fleet.SECRET in line:
                 raise MismatchError(f"{name} logs the secret: {line}")
@@ -278,7 +278,7 @@
 
 def _kill_entry_hosts(running: fleet.Fleet) -> None:
     """End the entry hosts, which the shell has started."""
-    for name in running.places:
+    for name in running.hosts:
         path = pathlib.Path(running.directory.name, f"{name}.pid")
         if path.exists():
             with contextlib.suppress(ProcessLookupError):
@@ -295,7 +295,9 @@
     if binary:
         program = [sys.executable, str(pathlib.Path(binary).resolve())]
     try:
-        count = asyncio.run(walk(first=first, last=last, program=program))
+        count = asyncio.run(
+            run_walkthroughs(first=first, last=last, program=program)
+        )
     except MismatchError as error:
         typer.echo(f"not as the page says:\n{error}", err=True)
         raise typer.Exit(1) from None
--- a/tests/system/harness.py
+++ b/tests/system/harness.py
@@ -32,10 +32,10 @@
     """Start servers and entry hosts, and apply the demo's catalogue."""
     await running.start_servers("servers", SERVER_NAMES, service_s=service_s)
     await asyncio.gather(
-        *(running.start_host(name, wait=False) for name in running.places)
+        *(running.start_host(name, wait=False) for name in running.hosts)
     )
     await demo.apply_catalogue(running)
-    for name in running.places:
+    for name in running.hosts:
         await running.wait_host_ready(name)
 
 
@@ -50,7 +50,7 @@
         self.think_s = think_s
         self.calls: list[checks.Call] = []
         self.tasks: list[asyncio.Task[None]] = []
-        urls = [running.caller_url(name) for name in running.places]
+        urls = [running.caller_url(name) for name in running.hosts]
         self.callers = [
             caller.Caller(
                 lookup_urls=urls,
@@ -140,11 +140,11 @@
     assert checks.double_runs(reports, once) == []
     assert checks.false_not_run(reports, load.calls) == []
     assert checks.wrong_answers(load.calls) == []
-    assert checks.lost_without_code(load.calls) == []
+    assert checks.calls_without_result(load.calls) == []
     assert checks.overfull_servers(reports) == {}
     for region in demo.REGIONS:
-        assert checks.most_in_flight(reports, region) <= REGION_LIMIT
-        shifted = checks.most_shifted(reports, region, SHIFT_INTERVAL_S)
+        assert checks.peak_in_flight(reports, region) <= REGION_LIMIT
+        shifted = checks.peak_shifted(reports, region, SHIFT_INTERVAL_S)
         assert shifted <= SHIFT_REQUESTS
 
 
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -23,7 +23,7 @@
     """Run a scenario on a fresh fleet."""
 
     async def run() -> None:
-        async with fleet.Fleet(places=demo.PLACES) as running:
+        async with fleet.Fleet(hosts=demo.HOSTS) as running:
             await harness.start(running)
             await scenario(running)
 
@@ -58,7 +58,7 @@
     """Return the flags that name every entry host."""
     return [
         word
-        for name in running.places
+        for name in running.hosts
         for word in ("--entry-host-url", running.operator_url(name))
     ]
 
@@ -91,7 +91,7 @@
         )
         assert code == 0, (out, err)
         revision = (await current_region(running))["revision"]
-        for name in running.places:
+        for name in running.hosts:
             status = await running.get_json(
                 f"{running.operator_url(name)}/v1/status"
             )
@@ -178,10 +178,10 @@
         assert names == {"eh-tallinn", "eh-tallinn-2"}
 
     async def run() -> None:
-        async with fleet.Fleet(places=demo.PLACES) as running:
+        async with fleet.Fleet(hosts=demo.HOSTS) as running:
             await harness.start(running)
             running.add_host(
-                fleet.HostPlace("eh-tartu-2", "tartu-b", "tartu"),
+                fleet.HostLocation("eh-tartu-2", "tartu-b", "tartu"),
                 secret="another-secret-of-this-length",
             )
             await scenario(running)
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -27,7 +27,7 @@
 
     async def run() -> None:
         async with fleet.Fleet(
-            places=demo.PLACES, host_flags=flags or []
+            hosts=demo.HOSTS, host_flags=flags or []
         ) as running:
             await harness.start(running, service_s=service_s)
             await scenario(running)
@@ -276,7 +276,7 @@
         await harness.check_promises(running, load)
         reports = await running.reports()
         # The cap lets some of the lost region's work through.
-        assert checks.most_shifted(reports, "tallinn", 1.0) > 0
+        assert checks.peak_shifted(reports, "tallinn", 1.0) > 0
         at_home = [
             call
             for call in load.calls
--- a/tests/system/test_sessions.py
+++ b/tests/system/test_sessions.py
@@ -11,7 +11,7 @@
 from standins import fleet
 from tests.system import recorder
 
-PLACES = [fleet.HostPlace("eh1", "tallinn-a", "tallinn")]
+HOSTS = [fleet.HostLocation("eh1", "tallinn-a", "tallinn")]
 ANSWER = (
     b"HTTP/1.1 201 Created\r\nContent-Type: text/plain\r\n"
     b"Connection: close\r\nX-Kept: yes\r\nContent-Length: 8\r\n\r\naccepted"
@@ -129,7 +129,7 @@
     """Guards against changes of the messages that callers and servers see."""
 
     async def run() -> str:
-        async with fleet.Fleet(places=PLACES) as running:
+        async with fleet.Fleet(hosts=HOSTS) as running:
             session = Session(running=running)
             await session.start()
             await send_all(session)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -52,4 +52,4 @@
 def test_walk_throughs_show_what_the_page_says() -> None:
     """Guards against a page whose commands do not work as written."""
     # The start, a change, a roll-back, a drain and a replacement.
-    assert asyncio.run(walkthrough.walk(last=5)) == 5
+    assert asyncio.run(walkthrough.run_walkthroughs(last=5)) == 5
