--- a/src/samphirelug/__main__.py
+++ b/src/samphirelug/__main__.py
@@ -1,4 +1,4 @@
-"""Start the samphirelug command line."""
+"""Provide the samphirelug command line."""
 
 import importlib.metadata
 
@@ -36,7 +36,7 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given by the process arguments."""
     app()
 
 
--- a/src/samphirelug/const.py
+++ b/src/samphirelug/const.py
@@ -1,21 +1,24 @@
-"""Hold limits and intervals that several components share."""
+"""Define limits, intervals and header names shared by components."""
 
-# Longest deadline that a request may have. Units of quota stay reserved for
-# at least this long after their holder was lost.
+# Longest deadline that a request may have. Quota units stay reserved for at
+# least this long after the entry host that held them was lost.
 MAX_REQUEST_S = 30.0
-# A server may still work on a request for this long after its deadline.
+# A backend server may continue to process an orphaned request, one that no
+# entry host waits for any more, for this long after its deadline.
 ORPHAN_MARGIN_S = 0.5
 
 HEARTBEAT_INTERVAL_S = 0.5
 PEER_TIMEOUT_S = 2.0
 
+# Default of the time for which callers may reuse a look-up answer.
 LOOKUP_KEEP_S = 10.0
 LOOKUP_MAX_ENTRY_HOSTS = 4
+# Lifetime of a run token.
 TOKEN_TTL_S = 120.0
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 16 * 1024 * 1024
-# The store takes values of up to a megabyte.
+# The object store accepts values of up to one megabyte.
 MAX_OBJECT_BYTES = 1024 * 1024
 MAX_PEER_MESSAGE_BYTES = 1024 * 1024
 
@@ -23,6 +26,8 @@
 HEADER_RUN_TOKEN = "Samphirelug-Run-Token"
 HEADER_HOME_REGION = "Samphirelug-Home-Region"
 HEADER_WORK = "Samphirelug-Work"
+# Value of HEADER_WORK by which a backend server states in its answer that it
+# did not run the request.
 WORK_NOT_RUN = "not-run"
 HEADER_DRAIN = "Samphirelug-Drain"
 HEADER_REQUEST_ID = "X-Request-Id"
--- a/src/samphirelug/core.py
+++ b/src/samphirelug/core.py
@@ -1,11 +1,11 @@
-"""Define the identities that all components share."""
+"""Define the data types shared by all components."""
 
 import enum
 from typing import NamedTuple
 
 
 class Rank(enum.IntEnum):
-    """Order classes of work, the most urgent first."""
+    """Represent the priority of a class of work, most urgent first."""
 
     URGENT = 0
     INTERACTIVE = 1
@@ -13,12 +13,12 @@
 
     @property
     def label(self) -> str:
-        """Return the name that settings, metrics and JSON use."""
+        """Return the name used in settings, metrics and JSON."""
         return self.name.lower()
 
 
 class WorkClass(enum.StrEnum):
-    """Name the classes of work that a catalogue entry can have."""
+    """Represent the classes of work that a catalogue entry can have."""
 
     FILING = "filing"
     PAYMENT = "payment"
@@ -30,7 +30,7 @@
 
     @property
     def rank(self) -> Rank:
-        """Return the rank that follows from the class."""
+        """Return the rank of the class."""
         return _RANK_OF_CLASS[self]
 
 
@@ -46,14 +46,14 @@
 
 
 class AvailabilityZone(NamedTuple):
-    """Name an availability zone and the region that it is part of."""
+    """Represent an availability zone and the region it belongs to."""
 
     name: str
     region: str
 
 
 class EntryHostState(enum.StrEnum):
-    """Name the states that an entry host announces to its peers."""
+    """Represent the states that an entry host announces to its peers."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -61,49 +61,50 @@
 
 
 class EntryHost(NamedTuple):
-    """Identify one process of an entry host and where it listens."""
+    """Represent one process of an entry host and its addresses."""
 
     name: str
-    # Differs for each start of the process, also on the same host.
+    # Unique to each start of the process, also on the same host.
     incarnation: str
     zone: AvailabilityZone
-    # HTTP base address for callers, one for each rank, by Rank value.
+    # HTTP base URL for callers of each rank, indexed by Rank value.
     caller_urls: tuple[str, str, str]
     peer_url: str
 
 
 class BackendServer(NamedTuple):
-    """Describe one worker of a backend service."""
+    """Represent one server of a backend service."""
 
     name: str
     service: str
     zone: AvailabilityZone
     # host:port
     address: str
+    # Maximum number of requests in progress at the server at once.
     slots: int
     connections: int
 
 
 class CallerRequest(NamedTuple):
-    """Hold one request of a caller as the entry host received it."""
+    """Represent a request of a caller as the entry host received it."""
 
     request_id: str
     work: str
     rank: Rank
     method: str
-    # Path below the work's prefix, with a leading slash.
+    # Path below the prefix of the work entry, with a leading slash.
     path: str
     query: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    # On the entry host's own monotonic clock.
+    # In seconds on the entry host's monotonic clock.
     deadline_at_s: float
     home_region: str
     run_token: str | None
 
 
 class Answer(NamedTuple):
-    """Hold the whole answer of a backend server."""
+    """Represent the complete answer of a backend server."""
 
     status: int
     reason: str
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -1,4 +1,4 @@
-"""Wire the parts of an entry host, start them and stop them in order."""
+"""Assemble the components of an entry host, and start and stop them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -47,27 +47,32 @@
 from samphirelug import status
 
 LOGGER = logging.getLogger(__name__)
-# Time added to LOOKUP_KEEP_S for look-up answers still on their way.
+# Added to the time for which callers keep look-up answers, for answers that
+# are still in transit.
 LEAVING_MARGIN_S = 1.0
-# Upper bound of the last steps of a planned stop.
+# A planned stop waits for requests in flight for up to MAX_REQUEST_S and this
+# time.
 STOP_MARGIN_S = 5.0
-IN_FLIGHT_POLL_S = 0.05
-# Hosts of another region take over its shares this long after its last host
-# was heard.
-ADOPT_AFTER_S = 30.0
-# Stands for the hosts of a region before any was heard; not a valid name.
-UNHEARD_HOST = "?"
+# Interval at which the start checks readiness and the stop checks for requests
+# in flight.
+POLL_INTERVAL_S = 0.05
+# The hosts of other regions take over a region's quota shares this long after
+# the last heartbeat of its last host.
+TAKEOVER_DELAY_S = 30.0
+# Represents the hosts of a region from which no heartbeat was received yet.
+# Not a valid name of a host.
+PLACEHOLDER_HOST = "?"
 
 
-class LastHosts(NamedTuple):
-    """Hold the entry hosts that a region had, and when."""
+class LastKnownHosts(NamedTuple):
+    """Represent the entry hosts of a region when it last had any."""
 
     names: frozenset[str]
-    at_s: float
+    seen_at_s: float
 
 
 class EntryHostProcess:
-    """Own every part of one entry host."""
+    """Hold the components of one entry host and run them."""
 
     def __init__(self, *, settings: settings_module.EntryHostSettings) -> None:
         self.settings = settings
@@ -78,7 +83,7 @@
         self.lag = loop_lag.LoopLagMonitor(timer_service=self.timer)
         self.state = core.EntryHostState.STARTING
         self.refusing_new_work = False
-        self.last_hosts_of: dict[str, LastHosts] = {}
+        self.last_known_hosts: dict[str, LastKnownHosts] = {}
         self.stop_requested = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
         self.listeners: list[io_server.RankListener] = []
@@ -87,20 +92,24 @@
         self._build_serving()
 
     def _bind(self) -> core.EntryHost:
-        """Take the addresses first: it proves that no predecessor runs."""
+        """Bind the listening sockets and return this process's identity.
+
+        Called first, because it fails while an earlier process of this entry
+        host still runs.
+        """
         settings = self.settings
         self.issuer = tokens.TokenIssuer(
             secret=settings.cluster_secret, timer=self.timer
         )
         for rank in core.Rank:
             port = settings.caller_ports[rank]
-            with self._binding(f"{rank.label}-port", port):
+            with self._reporting_bind_error(f"{rank.label}-port", port):
                 self.listeners.append(
                     io_server.RankListener(
                         rank=rank, address=settings.listen_address, port=port
                     )
                 )
-        with self._binding("peer-port", settings.peer_port):
+        with self._reporting_bind_error("peer-port", settings.peer_port):
             self.peer_socket = netutil.bind_sockets(
                 settings.peer_port, settings.listen_address
             )[0]
@@ -120,8 +129,8 @@
         )
 
     @contextlib.contextmanager
-    def _binding(self, flag: str, port: int) -> Iterator[None]:
-        """Name the setting whose address cannot be listened on."""
+    def _reporting_bind_error(self, flag: str, port: int) -> Iterator[None]:
+        """Raise AddressUnavailableError for a port that cannot be bound."""
         try:
             yield
         except OSError as error:
@@ -133,7 +142,7 @@
             ) from error
 
     def _build_state(self) -> None:
-        """Build the parts that hold shared state."""
+        """Build the components that hold shared state."""
         settings = self.settings
         self.store = io_http_store.HttpObjectStore(
             base_url=settings.store_url,
@@ -184,7 +193,7 @@
         )
 
     def _build_serving(self) -> None:
-        """Build the parts that look up, admit, run and answer."""
+        """Build the components that serve callers and operators."""
         self.health = health.ServerHealth(timer=self.timer)
         self.planner = planner.SteeringPlanner(
             catalogue=self.catalogue,
@@ -236,11 +245,13 @@
             metrics=self.metrics,
             lag=self.lag,
             timer_service=self.timer,
-            refusing=self.refusing,
+            refusing=self.new_work_refusal,
         )
         self.status = status.StatusReport(entry_host=self)
-        with self._binding("operator-port", self.settings.operator_port):
-            self.operator = io_operator.OperatorServer(
+        with self._reporting_bind_error(
+            "operator-port", self.settings.operator_port
+        ):
+            self.operator_server = io_operator.OperatorServer(
                 address=self.settings.listen_address,
                 port=self.settings.operator_port,
                 status=self.status.status,
@@ -268,9 +279,9 @@
             servers=self.probed_servers,
             interval_s=self.settings.probe_interval_s,
         )
-        self._connect_parts()
+        self._connect_components()
 
-    def _connect_parts(self) -> None:
+    def _connect_components(self) -> None:
         self.health.on_sighting.append(self.mesh.broadcast)
         self.health.on_sighting.append(self._log_sighting)
         self.mesh.on_superseded.append(self.stop_requested.set)
@@ -282,7 +293,7 @@
         )
 
     def heartbeat(self) -> peers_model.Heartbeat:
-        """Return what this entry host tells its peers of itself."""
+        """Return the heartbeat that this entry host sends to its peers."""
         clock_s = self.timer.monotonic() - self.started_at_s
         return peers_model.Heartbeat(
             host=self.host,
@@ -302,35 +313,37 @@
     def hosts_of(self, region: str) -> frozenset[str]:
         """Return the entry hosts of a region; empty once it has none.
 
-        A region whose hosts have not been heard yet or were lost only now
-        keeps those last known, since other hosts would otherwise take its
-        shares at each start and give them back slowly.
+        If no host of the region was heard yet, or the last one was lost less
+        than TAKEOVER_DELAY_S ago, return those last known. Otherwise other
+        hosts would take over the region's quota shares at each start, and
+        they return them only slowly.
         """
         hosts = [peer.heartbeat.host for peer in self.mesh.live_peers()]
         hosts.append(self.host)
         listed = self.host_list.state.entry_hosts(self.region_of_zone)
         if len(listed) > peers_const.FULL_MESH_MAX_HOSTS:
-            # Only some hosts of a large fleet are heard directly.
+            # In a large fleet, a host has connections to some peers only.
             hosts.extend(listed)
         names = frozenset(
             host.name for host in hosts if host.zone.region == region
         )
         now = self.timer.monotonic()
         if names:
-            self.last_hosts_of[region] = LastHosts(names, now)
+            self.last_known_hosts[region] = LastKnownHosts(names, now)
             return names
-        last = self.last_hosts_of.get(
-            region, LastHosts(frozenset((UNHEARD_HOST,)), self.started_at_s)
+        last = self.last_known_hosts.get(
+            region,
+            LastKnownHosts(frozenset((PLACEHOLDER_HOST,)), self.started_at_s),
         )
-        return last.names if now - last.at_s < ADOPT_AFTER_S else names
+        return last.names if now - last.seen_at_s < TAKEOVER_DELAY_S else names
 
     def region_of_zone(self, zone: str) -> str | None:
-        """Return the region of an availability zone of the catalogue."""
-        found = self.catalogue.view.zones.get(zone)
-        return found.region if found else None
+        """Return the region of a zone, None if not in the catalogue."""
+        known_zone = self.catalogue.view.zones.get(zone)
+        return known_zone.region if known_zone else None
 
     def probed_servers(self) -> list[core.BackendServer]:
-        """Return the servers that this host may hold slots of."""
+        """Return the backend servers whose slots this host may hold."""
         region = self.host.zone.region
         return [
             server
@@ -338,41 +351,41 @@
             if server.zone.region == region
         ]
 
-    def refusing(self) -> result_codes.Refusal | None:
-        """Return why new work is refused at this entry host, if it is."""
+    def new_work_refusal(self) -> result_codes.Refusal | None:
+        """Return why this entry host refuses all new work, None if not."""
         if self.refusing_new_work:
             return result_codes.Refusal(
                 result_codes.ResultCode.STOPPING,
-                "this entry host is stopping; use the next one",
+                "this entry host is stopping; use another one",
             )
         if not self.sync.ready:
             return result_codes.Refusal(
                 result_codes.ResultCode.NO_CATALOGUE,
-                "this entry host has no catalogue yet; use the next one",
+                "this entry host has no catalogue yet; use another one",
                 1.0,
             )
         return None
 
-    def not_ready(self) -> str | None:
-        """Return why callers should not be sent here, if so."""
+    def unready_reason(self) -> str | None:
+        """Return why callers should not use this host, None if they may."""
         if self.state is not core.EntryHostState.SERVING:
             return f"state is {self.state}"
         if not self._has_units():
-            return "no quota units: the seat has lapsed"
+            return "no quota units: the seat has expired"
         return None
 
     async def run(self) -> int:
         """Serve until asked to stop; return the exit code."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop_requested.set)
         LOGGER.info(
-            "entry host %s starts as incarnation %s",
+            "starting entry host %s as incarnation %s",
             self.host.name,
             self.host.incarnation,
         )
         self.lag.start()
-        self.operator.start()
+        self.operator_server.start()
         await self.mesh.start()
         for listener in self.listeners:
             listener.start(self.service)
@@ -381,7 +394,8 @@
         self._spawn(self.seats.run())
         self.prober.start()
         self.timer.subscribe(
-            interval_s=status.SEAT_CHECK_S, callback=self.status.check_seats
+            interval_s=status.SEAT_CHECK_INTERVAL_S,
+            callback=self.status.check_seats,
         )
         self._spawn(self._become_serving())
         await self.stop_requested.wait()
@@ -389,8 +403,9 @@
         return 0
 
     async def _become_serving(self) -> None:
+        """Announce SERVING once there are a catalogue and quota units."""
         while not self.sync.ready or not self._has_units():
-            await self.timer.sleep(IN_FLIGHT_POLL_S)
+            await self.timer.sleep(POLL_INTERVAL_S)
         if self.state is core.EntryHostState.STARTING:
             self.state = core.EntryHostState.SERVING
             self.mesh.heartbeat_now()
@@ -403,10 +418,10 @@
         return self.ledger.usable(key) > 0
 
     async def _stop(self) -> None:
-        """Stop without cutting off a request; see design.md, section 8."""
+        """Stop without interrupting requests; see design.md, section 8."""
         was_serving = self.state is core.EntryHostState.SERVING
         self.state = core.EntryHostState.LEAVING
-        LOGGER.info("leaving: look-ups name other entry hosts from now on")
+        LOGGER.info("stopping: look-up answers no longer list this entry host")
         self.mesh.heartbeat_now()
         if was_serving and self.mesh.live_peers():
             keep_s = self.settings.lookup_keep_s + LEAVING_MARGIN_S
@@ -423,18 +438,18 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for listener in self.listeners:
             await listener.close()
-        await self.operator.stop()
+        await self.operator_server.stop()
         await self.mesh.stop()
-        LOGGER.info("stopped")
+        LOGGER.info("entry host stopped")
 
     async def _wait_in_flight(self) -> None:
-        """Wait for requests, and for run tokens whose callers have left."""
+        """Wait for requests, and for runs whose callers have disconnected."""
         end_s = self.timer.monotonic() + const.MAX_REQUEST_S + STOP_MARGIN_S
         while self._in_flight() and self.timer.monotonic() < end_s:
-            await self.timer.sleep(IN_FLIGHT_POLL_S)
+            await self.timer.sleep(POLL_INTERVAL_S)
         if self._in_flight():
             LOGGER.error(
-                "%d requests still in flight at the bound of the stop",
+                "%d requests still in flight when the stop's wait timed out",
                 self._in_flight(),
             )
 
@@ -442,9 +457,9 @@
         return self.service.in_flight + len(self.executor.runs)
 
     def _log_sighting(self, sighting: peers_model.Sighting) -> None:
-        """Log a change of a server's state, once for each change."""
+        """Log a change of the state of a backend server."""
         LOGGER.info(
-            "server %s is %s",
+            "backend server %s is %s",
             sighting.server,
             "leaving" if sighting.leaving else "live again",
             extra={"server": sighting.server, "leaving": sighting.leaving},
@@ -454,7 +469,7 @@
         self, sender: str, message: peers_model.Message
     ) -> None:
         assert isinstance(message, peers_model.Sighting)
-        LOGGER.debug("%s reports server %s", sender, message.server)
+        LOGGER.debug("peer %s reported server %s", sender, message.server)
         self.health.apply_sighting(message)
 
     async def _on_grant_request(
@@ -471,7 +486,8 @@
             self.borrower.is_requesting_units(unit.key)
             for unit in message.units
         ):
-            # Two hosts that pass each other their units both lack them.
+            # Two hosts that lend each other units of one key while both
+            # request some would both run short.
             return peers_model.UnitGrant("", (), 0.0)
         return self.admission.grant_units(message, borrower=sender)
 
@@ -492,10 +508,12 @@
         self.health.set_known_servers(view.servers)
         self.host_list.publish()
         self.mesh.heartbeat_now()
-        LOGGER.info("catalogue position %d in force", self.catalogue.position)
+        LOGGER.info(
+            "catalogue position %d is in force", self.catalogue.position
+        )
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
@@ -505,5 +523,8 @@
             return
         error = task.exception()
         if error is not None:
-            LOGGER.critical("a part has failed; stopping", exc_info=error)
+            LOGGER.critical(
+                "background task failed; stopping the entry host",
+                exc_info=error,
+            )
             self.stop_requested.set()
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -1,4 +1,4 @@
-"""Wire an entry host that forwards by routes, and stop it gracefully."""
+"""Assemble an entry host that forwards by routes, and run it."""
 
 import asyncio
 import logging
@@ -34,19 +34,22 @@
 from samphirelug.helpers import timer as timer_helper
 
 _LOGGER = logging.getLogger(__name__)
-# Callers learn within this part of the grace that the host stops.
-LEAVE_SHARE = 0.35
-# Left over at the end of the grace for closing connections.
-STOP_MARGIN_S = 0.4
-STOP_POLL_S = 0.05
-# Part of the time to act on a leaving server for which changes are gathered;
-# the rest covers a slow store and a connection that has to be opened again.
-SERVER_PAUSE_SHARE = 0.35
+# Fraction of the grace period of a stop before the listener stops. Within it,
+# callers learn that the host is stopping.
+LISTEN_FRACTION = 0.35
+# Reserved at the end of the grace period for closing connections.
+CLOSE_MARGIN_S = 0.4
+STOP_POLL_INTERVAL_S = 0.05
+# Pause after received changes of backend servers, as a fraction of the time
+# within which hosts must act on a leaving server. The rest of that time allows
+# for a slow store and for a connection that must be opened again.
+SERVER_PAUSE_FRACTION = 0.35
+# Interval at which the gauge samphirelug_belief is updated.
 BELIEF_INTERVAL_S = 1.0
 
 
 class ForwardingHost:
-    """Hold the parts of one entry host."""
+    """Hold the components of one entry host and run them."""
 
     def __init__(
         self,
@@ -115,13 +118,13 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether callers should use this host."""
+        """Return whether look-up answers may list this host."""
         return (
             self.configuration.table is not None and not self.stopping.is_set()
         )
 
     def addresses_for(self, *, region: str, zone: str) -> list[str]:
-        """Return the caller addresses to name in a look-up answer."""
+        """Return the caller addresses to list in a look-up answer."""
         hosts = self.roster.serving()
         if self.ready:
             hosts.append(self.roster.own)
@@ -130,7 +133,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until the signal to stop, then stop gracefully."""
+        """Serve until SIGTERM or SIGINT, then stop gracefully."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         loop.add_signal_handler(signal.SIGINT, self.stopping.set)
@@ -140,10 +143,10 @@
             host=self.settings.callers.host, port=self.settings.callers.port
         )
         self.timer.subscribe(
-            interval_s=BELIEF_INTERVAL_S, callback=self._check_beliefs
+            interval_s=BELIEF_INTERVAL_S, callback=self._update_beliefs
         )
         self.tasks = [
-            asyncio.ensure_future(one.run()) for one in self.followers
+            asyncio.ensure_future(item.run()) for item in self.followers
         ]
         self.tasks.append(asyncio.ensure_future(self.enrolment.run()))
         _LOGGER.info(
@@ -160,7 +163,7 @@
 
     async def _stop(self) -> None:
         started_at_s = self.timer.monotonic()
-        kill_at_s = started_at_s + self.settings.stop_grace_s - STOP_MARGIN_S
+        close_at_s = started_at_s + self.settings.stop_grace_s - CLOSE_MARGIN_S
         _LOGGER.info(
             "entry host stops",
             extra={"connections": len(self.listener.connections)},
@@ -168,13 +171,13 @@
         self.notice_protocol.announce_leaving()
         self.listener.draining = True
         deregistration = asyncio.ensure_future(self.enrolment.deregister())
-        await self.timer.sleep(self.settings.stop_grace_s * LEAVE_SHARE)
+        await self.timer.sleep(self.settings.stop_grace_s * LISTEN_FRACTION)
         self.listener.stop()
-        while self.timer.monotonic() < kill_at_s:
+        while self.timer.monotonic() < close_at_s:
             self.listener.close_idle()
             if not self.listener.busy:
                 break
-            await self.timer.sleep(STOP_POLL_S)
+            await self.timer.sleep(STOP_POLL_INTERVAL_S)
         for task in (*self.tasks, deregistration):
             task.cancel()
         _LOGGER.info(
@@ -209,10 +212,11 @@
                 registry=self.registry
             ),
         }
-        # Each kind's changes have to be in force within a time of its own.
+        # Kinds differ in how soon their changes must be in force. The default
+        # pause suits those that are not listed.
         pauses_s = {
             store_feed.ObjectKind.BACKEND_SERVERS: (
-                SERVER_PAUSE_SHARE * self.settings.drain_s
+                SERVER_PAUSE_FRACTION * self.settings.drain_s
             ),
         }
         availability = store_availability.StoreAvailability(timer=self.timer)
@@ -231,29 +235,29 @@
             for kind, consumer in kinds.items()
         ]
 
-    def _check_beliefs(self) -> None:
+    def _update_beliefs(self) -> None:
         self.metrics.set_belief("version", self.configuration.version)
         self.metrics.set_belief("servers", len(self.registry.servers))
         self.metrics.set_belief("entry_hosts", self.roster.count)
 
 
 class ReadyHandler(web.RequestHandler):
-    """Tell whether the host is ready."""
+    """Serve the readiness of the host."""
 
     def initialize(self, host: ForwardingHost) -> None:
-        """Keep the host."""
+        """Store the host that the handler reports on."""
         self.host = host
 
     def get(self) -> None:
-        """Answer 200 when ready, else 503."""
+        """Answer 200 if the host is ready, else 503."""
         self.set_status(200 if self.host.ready else 503)
 
 
 class MetricsHandler(web.RequestHandler):
-    """Show the metrics."""
+    """Serve the metrics of the host."""
 
     def initialize(self, host: ForwardingHost) -> None:
-        """Keep the host."""
+        """Store the host that the handler reports on."""
         self.host = host
 
     def get(self) -> None:
--- a/src/samphirelug/forwarding_settings.py
+++ b/src/samphirelug/forwarding_settings.py
@@ -7,7 +7,7 @@
 
 
 class SocketAddress(NamedTuple):
-    """Hold an address to listen on."""
+    """Represent an address to listen on."""
 
     host: str
     port: int
@@ -19,27 +19,29 @@
 
 
 class RetryLimits(NamedTuple):
-    """Bound repeated attempts, summed over all entry hosts."""
+    """Limit the retries of all entry hosts together."""
 
+    # Retries allowed per first attempt in the window.
     ratio: float
+    # Retries allowed in the window beyond the ratio.
     slack: float
     window_s: float
 
 
 class HostResources(NamedTuple):
-    """Hold what the host may use."""
+    """Represent the processor and network capacity of the host."""
 
-    # Of the speed that the host's times are measured at.
+    # Processor cores, of the speed at which the host's times were measured.
     cores: float
     link_mbps: float
 
 
 class ForwardingSettings(NamedTuple):
-    """Hold what a forwarding entry host needs to know at start."""
+    """Represent the settings of a forwarding entry host."""
 
     name: str
     zone: core.AvailabilityZone
-    # Region of each availability zone.
+    # Regions by availability zone.
     zones: Mapping[str, str]
     callers: SocketAddress
     ready: SocketAddress
@@ -50,8 +52,8 @@
     retries: RetryLimits
     # Time from the signal to stop until the process is killed.
     stop_grace_s: float
-    # Longest time that callers keep a look-up answer.
+    # Longest time for which callers may reuse a look-up answer.
     lookup_keep_s: float
-    # Time after which a server that leaves gets no new request.
+    # Time within which hosts stop sending new requests to a leaving server.
     drain_s: float
     resources: HostResources
--- a/src/samphirelug/result_codes.py
+++ b/src/samphirelug/result_codes.py
@@ -1,21 +1,21 @@
-"""Define the numbered result codes and the refusal that carries one."""
+"""Define the numbered result codes and refusals."""
 
 import enum
 from typing import NamedTuple
 
 
 class Effect(enum.StrEnum):
-    """State what a result says about the execution of a request."""
+    """Represent what a result code says about a request's execution."""
 
     DONE = "done"
     NOT_RUN = "not_run"
     OUTCOME_UNKNOWN = "outcome_unknown"
-    # The code is about an operator command or a peer, not a request.
+    # The code concerns an operator command or a peer, not a request.
     NONE = "none"
 
 
 class ResultCode(enum.IntEnum):
-    """Number every outcome; docs/result-codes.md has the table."""
+    """Represent every outcome; docs/result-codes.md describes each."""
 
     OK = 0
 
@@ -91,7 +91,7 @@
 
     @property
     def http_status(self) -> int:
-        """Return the HTTP status that goes with the code."""
+        """Return the HTTP status of an answer with this code."""
         return _HTTP_STATUS.get(self, 503)
 
     @property
@@ -141,9 +141,9 @@
 
 
 class Refusal(NamedTuple):
-    """Carry a result code with its detail and a time to come back."""
+    """Represent a refused request or failed command."""
 
     code: ResultCode
     detail: str
-    # 0.0 means that coming back later does not help.
+    # 0.0 if a later retry would not succeed either.
     retry_after_s: float = 0.0
--- a/src/samphirelug/settings.py
+++ b/src/samphirelug/settings.py
@@ -1,4 +1,4 @@
-"""Define the entry host's settings and check them at start."""
+"""Define the settings of an entry host and validate them."""
 
 import ipaddress
 import re
@@ -18,14 +18,14 @@
 
 
 class Bounds(NamedTuple):
-    """Bound a setting, both ends included."""
+    """Represent the inclusive bounds of a setting."""
 
     low: float
     high: float
 
     @property
     def text(self) -> str:
-        """Return the bounds as messages and help texts print them."""
+        """Return the bounds as shown in messages and help texts."""
         return f"{self.low:g} to {self.high:g}"
 
 
@@ -37,22 +37,22 @@
 
 
 class EntryHostSettings(NamedTuple):
-    """Hold what an entry host needs to know at start."""
+    """Represent the settings of an entry host."""
 
     name: str
     availability_zone: str
     region: str
-    # IP address to listen on, and the one that callers and peers use.
+    # IPv4 address to listen on, and the one that callers and peers use.
     listen_address: str
     advertise_address: str
-    # Ports for callers, by Rank value; 0 lets the system choose.
+    # Ports for callers, indexed by Rank value; 0 selects a free port.
     caller_ports: tuple[int, int, int]
     peer_port: int
     operator_port: int
     store_url: str
     cluster: str
     cluster_secret: str
-    # Websocket URLs of peers to try first.
+    # WebSocket URLs of the peers to connect to first.
     peers: tuple[str, ...]
     seat_lease_s: float
     lookup_keep_s: float
@@ -61,7 +61,7 @@
 
 
 class AddressUnavailableError(Exception):
-    """Report an address that the process cannot listen on."""
+    """Raised when the process cannot listen on an address."""
 
     def __init__(
         self, *, flag: str, address: str, port: int, error: OSError
@@ -86,15 +86,15 @@
     settings: EntryHostSettings,
 ) -> Result[EntryHostSettings, result_codes.Refusal]:
     """Return the settings, or SETTING_INVALID for the first bad one."""
-    for problem in (
+    for refusal in (
         _check_names(settings),
         _check_addresses(settings),
         _check_ports(settings),
         _check_urls(settings),
         _check_intervals(settings),
     ):
-        if problem is not None:
-            return Failure(problem)
+        if refusal is not None:
+            return Failure(refusal)
     return Success(settings)
 
 
@@ -127,8 +127,8 @@
 def _check_addresses(
     settings: EntryHostSettings,
 ) -> result_codes.Refusal | None:
-    # URLs are built from the advertised address, which an IPv6 one would
-    # need brackets in.
+    # Only IPv4: URLs are built from the advertised address, and an IPv6
+    # address would need brackets there.
     for flag, value in (
         ("listen-address", settings.listen_address),
         ("advertise-address", settings.advertise_address),
@@ -179,7 +179,7 @@
         ("probe-interval-s", settings.probe_interval_s),
     ):
         bounds = BOUNDS[flag]
-        # Comparisons with NaN are false.
+        # NaN is rejected, since every comparison with it is false.
         if not bounds.low <= value <= bounds.high:
             return _invalid(flag, value, bounds.text)
     return None
--- a/src/samphirelug/status.py
+++ b/src/samphirelug/status.py
@@ -1,4 +1,4 @@
-"""Report an entry host's state to operators."""
+"""Report the state of an entry host to operators."""
 
 import logging
 from typing import Any
@@ -18,13 +18,14 @@
 from samphirelug.helpers import timer as timer_helper
 
 LOGGER = logging.getLogger(__name__)
-SEAT_CHECK_S = 1.0
-# Keys of single servers and work entries would be too many labels.
-METRIC_KEYS = ("region:", "shift:", "link:")
+SEAT_CHECK_INTERVAL_S = 1.0
+# Keys of single servers and work entries are left out: they would make too
+# many label values.
+METRIC_KEY_PREFIXES = ("region:", "shift:", "link:")
 
 
 class ReportedHost(Protocol):
-    """Name the parts of an entry host that are reported."""
+    """Define the attributes of an entry host that a report reads."""
 
     host: core.EntryHost
     state: core.EntryHostState
@@ -43,23 +44,23 @@
         """Return the connections to other entry hosts."""
 
     def heartbeat(self) -> peers_model.Heartbeat:
-        """Return the host's own heartbeat."""
+        """Return the heartbeat that this host sends to its peers."""
 
-    def not_ready(self) -> str | None:
-        """Return why callers should not use the host, None if they may."""
+    def unready_reason(self) -> str | None:
+        """Return why callers should not use this host, None if they may."""
 
 
 class StatusReport:
-    """Collect what operators ask for from the parts of an entry host."""
+    """Collect the status of an entry host from its components."""
 
     def __init__(self, *, entry_host: ReportedHost) -> None:
         self.entry_host = entry_host
         self.valid_seats: set[str] = set()
 
     def status(self) -> dict[str, Any]:
-        """Return this entry host's own state and what it knows of peers."""
+        """Return the state of this entry host and of its live peers."""
         own = self.entry_host
-        beat = own.heartbeat()
+        heartbeat = own.heartbeat()
         now = own.timer.monotonic()
         return {
             "name": own.host.name,
@@ -71,9 +72,16 @@
             "catalogue_position": own.catalogue.position,
             "loop_lag_s": round(own.lag.lag_s, 4),
             "in_flight": own.service.in_flight,
-            "queued": {rank.label: beat.queued[rank] for rank in core.Rank},
-            "wait_s": {rank.label: beat.wait_s[rank] for rank in core.Rank},
-            "headroom": [room._asdict() for room in beat.headroom],
+            "queued": {
+                rank.label: heartbeat.queued[rank] for rank in core.Rank
+            },
+            "wait_s": {
+                rank.label: heartbeat.wait_s[rank] for rank in core.Rank
+            },
+            "headroom": [
+                region_headroom._asdict()
+                for region_headroom in heartbeat.headroom
+            ],
             "quota": self.quota(),
             "seats": self.seats(),
             "refusals": own.metrics.refusals_by_reason(),
@@ -81,7 +89,7 @@
             "overloaded": self.overloaded(),
             "leaving_servers": [
                 sighting.server
-                for sighting in beat.sightings
+                for sighting in heartbeat.sightings
                 if sighting.leaving
             ],
             "peers": [
@@ -97,10 +105,10 @@
         }
 
     def quota(self) -> dict[str, dict[str, int]]:
-        """Return the units by key that are own, in use, lent or borrowed."""
+        """Return the units by key: allocated, in use, lent and borrowed."""
         own = self.entry_host
         borrowed = own.borrower.borrowed
-        found = {
+        quota = {
             account.key: {
                 "limit": account.limit,
                 "share": account.share,
@@ -113,22 +121,22 @@
             if account.share or account.in_use or account.key in borrowed
         }
         for key, amount in borrowed.items():
-            found[key] = dict.fromkeys(
+            quota[key] = dict.fromkeys(
                 ("limit", "share", "free", "held", "lent"), 0
             ) | {"borrowed": amount}
-        return found
+        return quota
 
     def seats(self) -> dict[str, float]:
-        """Return the seconds that each seat stays valid; 0 once lapsed."""
+        """Return the seconds until each seat expires; 0 once expired."""
         own = self.entry_host
         now = own.timer.monotonic()
         return {
-            group: round(max(0.0, until_s - now), 1)
-            for group, until_s in own.ledger.seat_expiries.items()
+            group: round(max(0.0, expires_at_s - now), 1)
+            for group, expires_at_s in own.ledger.seat_expiries.items()
         }
 
     def overloaded(self) -> list[str]:
-        """Return the ranks that are refused since the event loop lags."""
+        """Return the ranks that are refused because the event loop lags."""
         lag_s = self.entry_host.lag.lag_s
         return [
             rank.label
@@ -137,73 +145,82 @@
         ]
 
     def probe(self) -> dict[str, Any]:
-        """Return what the probes say."""
+        """Return the body of the readiness and liveness probes."""
         own = self.entry_host
         return {
-            "problem": own.not_ready(),
+            "problem": own.unready_reason(),
             "state": own.state.value,
             "overloaded": self.overloaded(),
         }
 
     def check_seats(self) -> None:
-        """Log each seat that has lapsed, once."""
+        """Log each seat that has expired, once."""
         seats = self.seats()
-        # A seat that was given back has no units and is not in the list.
-        lapsed = {
+        # A released seat has no units and is not listed.
+        expired = {
             group
-            for group, left_s in seats.items()
-            if not left_s and group in self.valid_seats
+            for group, valid_s in seats.items()
+            if not valid_s and group in self.valid_seats
+        }
+        self.valid_seats = {
+            group for group, valid_s in seats.items() if valid_s
         }
-        self.valid_seats = {group for group, left_s in seats.items() if left_s}
-        for group in sorted(lapsed):
+        for group in sorted(expired):
             LOGGER.error(
-                "seat in %s lapsed: its units are out of use until the store"
+                "seat in %s expired: its units are unavailable until the store"
                 " confirms a renewal",
                 group,
                 extra={"group": group},
             )
 
     def catalogue_status(self) -> dict[str, Any]:
-        """Return the position in force at each known entry host."""
+        """Return the catalogue position of this host and its live peers."""
         own = self.entry_host
-        beats = [own.heartbeat()]
-        beats += [peer.heartbeat for peer in own.mesh.live_peers()]
+        heartbeats = [own.heartbeat()]
+        heartbeats += [peer.heartbeat for peer in own.mesh.live_peers()]
         return {
             "position": own.catalogue.position,
             "hosts": [
                 {
-                    "name": beat.host.name,
-                    "availability_zone": beat.host.zone.name,
-                    "position": beat.catalogue_revision,
-                    "state": beat.state.value,
+                    "name": heartbeat.host.name,
+                    "availability_zone": heartbeat.host.zone.name,
+                    "position": heartbeat.catalogue_revision,
+                    "state": heartbeat.state.value,
                 }
-                for beat in beats
+                for heartbeat in heartbeats
             ],
             "rejected": dict(own.catalogue.rejected),
         }
 
     def update_metrics(self) -> None:
-        """Set the gauges to the present values."""
+        """Set the gauges to the current values."""
         own = self.entry_host
         metrics = own.metrics
         metrics.catalogue_revision.set({}, own.catalogue.position)
         metrics.loop_lag.set({}, own.lag.lag_s)
-        metrics.ready.set({}, int(own.not_ready() is None))
+        metrics.ready.set({}, int(own.unready_reason() is None))
         metrics.in_flight.set({}, own.service.in_flight)
         for rank in core.Rank:
             label = {"rank": rank.label}
             metrics.queued.set(label, own.admission.queued()[rank])
             metrics.wait.set(label, own.admission.wait_s(rank))
-        # Regions, keys and groups come and go with the catalogue.
+        # Remove regions, keys and groups that left the catalogue.
         for gauge in (metrics.headroom, metrics.units, metrics.seat_valid):
             gauge.values.clear()
-        for room in own.admission.headroom():
-            labels = {"region": room.region, "service": room.service}
-            metrics.headroom.set({**labels, "state": "free"}, room.free)
-            metrics.headroom.set({**labels, "state": "share"}, room.held)
+        for region_headroom in own.admission.headroom():
+            labels = {
+                "region": region_headroom.region,
+                "service": region_headroom.service,
+            }
+            metrics.headroom.set(
+                {**labels, "state": "free"}, region_headroom.free
+            )
+            metrics.headroom.set(
+                {**labels, "state": "share"}, region_headroom.held
+            )
         for key, account in self.quota().items():
-            if key.startswith(METRIC_KEYS):
+            if key.startswith(METRIC_KEY_PREFIXES):
                 for state, amount in account.items():
                     metrics.units.set({"key": key, "state": state}, amount)
-        for group, left_s in self.seats().items():
-            metrics.seat_valid.set({"group": group}, left_s)
+        for group, valid_s in self.seats().items():
+            metrics.seat_valid.set({"group": group}, valid_s)
--- a/tests/history/hosts.py
+++ b/tests/history/hosts.py
@@ -312,7 +312,7 @@
         self.lag = loop_lag.LoopLagMonitor(timer_service=self.timer)
         self.state = core.EntryHostState.STARTING
         self.refusing_new_work = False
-        self.last_hosts_of = {}
+        self.last_known_hosts = {}
         self.stop_requested = asyncio.Event()
         self.tasks = set()
         self.accepting = True
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Test that the pages agree with the program."""
+"""Test that the documentation matches the program."""
 
 import asyncio
 import pathlib
@@ -16,8 +16,8 @@
 SETTING = re.compile(r"^\| `(--[a-z-]+)` \| `(\w+)` \| `?([^|`]+)`? \|", re.M)
 
 
-def test_result_code_table_matches_the_program() -> None:
-    """Guards against a code that callers meet but cannot look up."""
+def test_result_code_table_is_complete() -> None:
+    """Guards against result codes that are not documented correctly."""
     table = {}
     for line in (DOCS / "result-codes.md").read_text().splitlines():
         if match := ROW.match(line):
@@ -33,8 +33,8 @@
             assert int(exit_code) == code.exit_code
 
 
-def test_settings_table_matches_the_program() -> None:
-    """Guards against a setting that the page leaves out or has wrong."""
+def test_settings_table_is_complete() -> None:
+    """Guards against settings that are missing or wrong on the page."""
     root: Any = typer.main.get_command(__main__.app)
     run = root.commands["entry-host"].commands["run"]
     expected = set()
@@ -49,7 +49,7 @@
     assert set(SETTING.findall(page)) == expected
 
 
-def test_walk_throughs_show_what_the_page_says() -> None:
-    """Guards against a page whose commands do not work as written."""
-    # The start, a change, a roll-back, a drain and a replacement.
+def test_walkthroughs_produce_the_documented_output() -> None:
+    """Guards against documented commands that do not work."""
+    # Starting, changing, rolling back, draining and replacing.
     assert asyncio.run(walkthrough.run_walkthroughs(last=5)) == 5
--- a/tests/test_result_codes.py
+++ b/tests/test_result_codes.py
@@ -1,10 +1,10 @@
-"""Test that result codes are complete and consistent."""
+"""Test that result codes are consistent."""
 
 from samphirelug import result_codes
 
 
-def test_effect_follows_from_number() -> None:
-    """Guards against a code that claims the wrong effect."""
+def test_effect_matches_number_range() -> None:
+    """Guards against a code whose effect misleads callers."""
     for code in result_codes.ResultCode:
         if 1000 <= code < 2000:
             assert code.effect is result_codes.Effect.NOT_RUN
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Test what an entry host reports of itself."""
+"""Test the status that an entry host reports to operators."""
 
 import types
 from typing import Any
@@ -17,22 +17,22 @@
 def make_report() -> tuple[
     status.StatusReport, ledger.QuotaLedger, timer.ManualTimerService
 ]:
-    """Return a report over a real ledger with 6 of 12 units."""
+    """Return a report on a real ledger that has 6 of 12 units."""
     clock = timer.ManualTimerService()
-    found = ledger.QuotaLedger(timer=clock)
-    found.set_limits({KEY: model.QuotaLimit(KEY, GROUP, 12, 0.0)})
-    renew(found, valid_until_s=10.0)
+    seat_ledger = ledger.QuotaLedger(timer=clock)
+    seat_ledger.set_limits({KEY: model.QuotaLimit(KEY, GROUP, 12, 0.0)})
+    renew(seat_ledger, valid_until_s=10.0)
     host: Any = types.SimpleNamespace(
-        ledger=found,
+        ledger=seat_ledger,
         timer=clock,
         borrower=types.SimpleNamespace(borrowed={KEY: 2, "region:far": 1}),
     )
-    return status.StatusReport(entry_host=host), found, clock
+    return status.StatusReport(entry_host=host), seat_ledger, clock
 
 
-def renew(found: ledger.QuotaLedger, *, valid_until_s: float) -> None:
-    """Renew the seat."""
-    found.set_seat(
+def renew(seat_ledger: ledger.QuotaLedger, *, valid_until_s: float) -> None:
+    """Extend the validity of the seat."""
+    seat_ledger.set_seat(
         group=GROUP,
         units={KEY: 6},
         limits={KEY: 12},
@@ -40,12 +40,12 @@
     )
 
 
-def test_quota_tells_units_held_from_units_lent() -> None:
+def test_quota_distinguishes_held_lent_and_borrowed_units() -> None:
     """Guard against lent or borrowed units that operators cannot see."""
-    report, found, _ = make_report()
+    report, seat_ledger, _ = make_report()
     amounts = (model.UnitAmount(KEY, 2),)
-    found.try_hold(model.Bundle("r", "s", amounts))
-    found.lend(
+    seat_ledger.try_hold(model.Bundle("r", "s", amounts))
+    seat_ledger.lend(
         (model.UnitAmount(KEY, 1),),
         loan_id="l",
         bundle_number=0,
@@ -71,24 +71,24 @@
     }
 
 
-def test_lapsed_seat_is_logged_once(
+def test_expired_seat_is_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guard against a lapse that is not logged, or again each second."""
-    report, found, clock = make_report()
+    """Guard against an expiry that is not logged, or logged repeatedly."""
+    report, seat_ledger, clock = make_report()
     for _ in range(15):
         report.check_seats()
         clock.advance(1.0)
     assert [record.levelname for record in caplog.records] == ["ERROR"]
     assert report.seats() == {GROUP: 0.0}
-    renew(found, valid_until_s=clock.now_s + 2.0)
+    renew(seat_ledger, valid_until_s=clock.now_s + 2.0)
     for _ in range(4):
         report.check_seats()
         clock.advance(1.0)
     assert len(caplog.records) == 2
-    # A seat that was given back has not lapsed.
-    renew(found, valid_until_s=clock.now_s + 9.0)
+    # A released seat has not expired.
+    renew(seat_ledger, valid_until_s=clock.now_s + 9.0)
     report.check_seats()
-    found.drop_seat(GROUP)
+    seat_ledger.drop_seat(GROUP)
     report.check_seats()
     assert len(caplog.records) == 2
