--- a/src/samphirelug/components/catalogue/__init__.py
+++ b/src/samphirelug/components/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""Check, apply and distribute catalogue entries."""
+"""Validate, store and distribute catalogue entries."""
--- a/src/samphirelug/components/catalogue/codec.py
+++ b/src/samphirelug/components/catalogue/codec.py
@@ -1,4 +1,4 @@
-"""Translate between catalogue entries and objects of the store."""
+"""Convert between catalogue entries and objects in the store."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -17,10 +17,10 @@
 
 
 class ObjectBody(TypedDict):
-    """Lay out the value of a catalogue object in the store."""
+    """Define the value of a catalogue object in the store."""
 
     change_id: str
-    # A tombstone; its entry is null.
+    # True for a tombstone, whose entry is null.
     deleted: bool
     entry: dict[str, Any] | None
 
@@ -29,7 +29,7 @@
 
 
 def encode_body(*, change_id: str, entry: schema.Entry | None) -> ObjectBody:
-    """Return the value to write; None makes a tombstone."""
+    """Return the value to write; an entry of None makes a tombstone."""
     return {
         "change_id": change_id,
         "deleted": entry is None,
@@ -38,7 +38,7 @@
 
 
 def change_id_of(value: Mapping[str, Any]) -> str | None:
-    """Return the change id, also where the entry is not valid."""
+    """Return the change id, even if the entry is invalid."""
     change_id = value.get("change_id")
     return change_id if isinstance(change_id, str) else None
 
@@ -46,15 +46,16 @@
 def decode_object(
     stored: store_model.StoredObject,
 ) -> Result[model.CatalogueObject, str]:
-    """Return the catalogue object, or why it is not valid."""
+    """Return the catalogue object, or the reason why it is invalid."""
     key = stored.key.removeprefix(PREFIX)
     try:
         body = _BODY.validate_python(stored.value, strict=True)
     except pydantic.ValidationError as error:
-        first = error.errors(include_url=False)[0]
-        field = ".".join(str(part) for part in first["loc"])
+        first_error = error.errors(include_url=False)[0]
+        field = ".".join(str(part) for part in first_error["loc"])
         return Failure(
-            f"{field}: is {first['input']!r}; allowed: {first['msg']}"
+            f"{field}: is {first_error['input']!r};"
+            f" allowed: {first_error['msg']}"
         )
     if body["deleted"]:
         return Success(
@@ -62,14 +63,14 @@
                 key, stored.revision, body["change_id"], None
             )
         )
-    checked = schema.validate_entry(body["entry"], allow_unknown=True)
-    if isinstance(checked, Failure):
-        return checked
-    entry = checked.unwrap()
+    validated = schema.validate_entry(body["entry"], allow_unknown=True)
+    if isinstance(validated, Failure):
+        return validated
+    entry = validated.unwrap()
     if schema.entry_key(entry) != key:
         return Failure(
-            f"name: is {schema.entry_key(entry)!r}; allowed: {key!r}, the"
-            " object's key"
+            f"kind and name: are {schema.entry_key(entry)!r}; allowed:"
+            f" {key!r}, the key that the entry is stored under"
         )
     return Success(
         model.CatalogueObject(key, stored.revision, body["change_id"], entry)
--- a/src/samphirelug/components/catalogue/diff.py
+++ b/src/samphirelug/components/catalogue/diff.py
@@ -1,4 +1,4 @@
-"""Show how two versions of catalogue entries differ."""
+"""Compare versions of catalogue entries."""
 
 from collections.abc import Mapping
 import difflib
@@ -10,7 +10,7 @@
 
 
 class EntryChange(NamedTuple):
-    """Hold both versions of an entry; None where it does not exist."""
+    """Hold an entry before and after a change; None if it is absent."""
 
     key: str
     before: schema.Entry | None
@@ -18,7 +18,7 @@
 
 
 def to_yaml(entry: schema.Entry | None) -> str:
-    """Return an entry as YAML, empty for none."""
+    """Return an entry as YAML, or an empty string for None."""
     if entry is None:
         return ""
     text: str = yaml.safe_dump(
@@ -32,7 +32,10 @@
     current: Mapping[str, schema.Entry],
     wanted: Mapping[str, schema.Entry | None],
 ) -> tuple[EntryChange, ...]:
-    """Return the wanted entries that differ; None deletes an entry."""
+    """Return the wanted entries that differ from the current ones.
+
+    A wanted value of None deletes the entry.
+    """
     return tuple(
         EntryChange(key, current.get(key), entry)
         for key, entry in wanted.items()
@@ -41,14 +44,17 @@
 
 
 def unified_diff(
-    change: EntryChange, *, before: str = "current", after: str = "new"
+    change: EntryChange,
+    *,
+    before_label: str = "current",
+    after_label: str = "new",
 ) -> str:
-    """Return a unified diff of the two versions, empty where equal."""
+    """Return a unified diff of both versions, empty if they are equal."""
     return "".join(
         difflib.unified_diff(
             to_yaml(change.before).splitlines(keepends=True),
             to_yaml(change.after).splitlines(keepends=True),
-            fromfile=f"{change.key} ({before})",
-            tofile=f"{change.key} ({after})",
+            fromfile=f"{change.key} ({before_label})",
+            tofile=f"{change.key} ({after_label})",
         )
     )
--- a/src/samphirelug/components/catalogue/model.py
+++ b/src/samphirelug/components/catalogue/model.py
@@ -1,4 +1,4 @@
-"""Define the catalogue's entries."""
+"""Define the catalogue's entries and the versions that hosts exchange."""
 
 from typing import Annotated
 from typing import Literal
@@ -21,14 +21,15 @@
 
 
 class ShiftCap(TypedDict):
-    """Bound the requests that arrive in a region from elsewhere."""
+    """Limit the requests that a region serves for other regions' callers."""
 
     requests: Count
+    # A request counts until this time after its end.
     interval_s: Annotated[float, pydantic.Field(gt=0.0, le=300.0)]
 
 
 class GuaranteedFractions(TypedDict):
-    """Give the fraction of capacity that each rank keeps in a flood."""
+    """Set the fraction of capacity each rank is guaranteed under overload."""
 
     urgent: Fraction
     interactive: Fraction
@@ -42,20 +43,24 @@
     name: Name
     owner: str
     availability_zones: Annotated[list[Name], pydantic.Field(min_length=1)]
+    # One-way delay between the region's availability zones.
     zone_latency_ms: Milliseconds
+    # Limit on the requests in flight to the region's backend servers.
     max_in_flight: Count
     shift_cap: ShiftCap
     guaranteed: GuaranteedFractions
 
 
 class LinkEntry(TypedDict):
-    """Describe the link between two regions and its limit each way."""
+    """Describe the link between two regions."""
 
     kind: Literal["link"]
     name: Name
     owner: str
     regions: Annotated[list[Name], pydantic.Field(min_length=2, max_length=2)]
+    # One-way delay.
     latency_ms: Milliseconds
+    # In each direction.
     bytes_per_s: Annotated[int, pydantic.Field(ge=1)]
 
 
@@ -65,6 +70,7 @@
     name: Name
     availability_zone: Name
     address: Address
+    # Requests that the server works on at the same time.
     slots: Annotated[int, pydantic.Field(ge=1, le=10_000)]
     connections: Count
 
@@ -76,17 +82,19 @@
     name: Name
     owner: str
     health_path: Annotated[str, pydantic.Field(pattern=r"^/")]
+    # A server that becomes usable receives its full load only after this time.
     ramp_s: Annotated[float, pydantic.Field(ge=0.0, le=3600.0)]
     servers: Annotated[list[ServerEntry], pydantic.Field(min_length=1)]
 
 
 class WorkEntry(TypedDict):
-    """Describe a kind of work that callers ask for."""
+    """Describe a kind of request that callers can send."""
 
     kind: Literal["work"]
     name: Name
     owner: str
     work_class: core.WorkClass
+    # Whether a request may run more than once, so that it can be retried.
     repeatable: bool
     backend_service: Name
     max_in_flight_per_region: Count
@@ -96,10 +104,11 @@
     max_answer_bytes: Annotated[
         int, pydantic.Field(ge=1, le=const.MAX_BODY_BYTES)
     ]
+    # Longest deadline of a request, and the default if it sets none.
     deadline_s: Annotated[
         float, pydantic.Field(gt=0.0, le=const.MAX_REQUEST_S)
     ]
-    # Regions that may serve the work; all regions where it is absent.
+    # Regions that may serve the work; all regions if absent.
     regions: NotRequired[list[Name]]
 
 
@@ -110,18 +119,18 @@
 
 
 class CatalogueObject(NamedTuple):
-    """Pair a catalogue entry with its place in the store's order."""
+    """Hold one version of an entry and its revision in the store."""
 
     # <kind>/<name>
     key: str
     revision: int
     change_id: str
-    # None is a tombstone: the entry was deleted at this revision.
+    # None for a tombstone: the entry was deleted at this revision.
     entry: RegionEntry | LinkEntry | BackendServiceEntry | WorkEntry | None
 
 
 class Rejection(NamedTuple):
-    """Report an entry whose latest version in the store is not valid."""
+    """Report an entry whose latest version in the store is invalid."""
 
     key: str
     revision: int
@@ -129,7 +138,11 @@
 
 
 class CatalogueDelta(NamedTuple):
-    """Hold every entry whose revision is in (since, revision]."""
+    """Hold the latest versions of the entries that changed after since.
+
+    Includes tombstones and may include versions above revision. Unless sent
+    as part of a larger delta, it lacks no change up to revision.
+    """
 
     since: int
     revision: int
--- a/src/samphirelug/components/catalogue/schema.py
+++ b/src/samphirelug/components/catalogue/schema.py
@@ -1,4 +1,4 @@
-"""Check catalogue entries, alone and against each other."""
+"""Validate catalogue entries, alone and against each other."""
 
 import collections
 from collections.abc import Iterable
@@ -29,14 +29,15 @@
 Entries = Mapping[str, Entry]
 
 KINDS = ("region", "link", "backend-service", "work")
-# Leaves room for the envelope in an object of the store and, in another
-# encoding, in a message between entry hosts.
+# Leaves room for the other fields of the stored object, and of a message
+# between entry hosts, which has another encoding.
 MAX_ENTRY_BYTES = const.MAX_OBJECT_BYTES // 2
-MAX_SHOWN_VALUE = 80
+# Longer values are cut off in error messages.
+MAX_SHOWN_CHARS = 80
 
 _ENTRY: pydantic.TypeAdapter[Entry] = pydantic.TypeAdapter(model.Entry)
 
-# Includes the fields that may be absent.
+# All fields of each kind, optional ones included.
 _FIELDS: Mapping[str, tuple[str, ...]] = {
     "region": tuple(model.RegionEntry.__annotations__),
     "link": tuple(model.LinkEntry.__annotations__),
@@ -51,7 +52,7 @@
 
 
 def dump_entry(entry: Entry) -> dict[str, Any]:
-    """Return the entry as values that JSON and YAML have."""
+    """Return the entry as plain JSON values."""
     value: dict[str, Any] = _ENTRY.dump_python(entry, mode="json")
     return value
 
@@ -59,69 +60,76 @@
 def validate_entry(
     document: object, *, allow_unknown: bool
 ) -> Result[Entry, str]:
-    """Validate one entry; the error names field, value and what is allowed.
+    """Validate one entry; errors state field, value and what is allowed.
 
-    Hosts allow unknown fields, which a newer release may have added.
+    Entry hosts allow and drop unknown fields, which a newer release may have
+    added. Commands reject them, since they may be misspelt.
     """
     try:
         encoded = orjson.dumps(document)
     except TypeError as error:
-        return Failure(f"the entry is not JSON: {error}")
+        return Failure(f"the entry cannot be encoded as JSON: {error}")
     if len(encoded) > MAX_ENTRY_BYTES:
         return Failure(
             f"the entry has {len(encoded)} bytes; allowed: at most"
             f" {MAX_ENTRY_BYTES}"
         )
     try:
-        # In strict mode a quoted number or a truth value is no integer.
+        # Strict mode accepts neither a quoted number nor a boolean as integer.
         entry = _ENTRY.validate_json(encoded, strict=True)
     except pydantic.ValidationError as error:
-        return Failure("; ".join(_describe(error, document)))
-    faults = list(_own_faults(entry))
+        return Failure("; ".join(_describe_error(error, document)))
+    found_problems = list(_entry_problems(entry))
     if not allow_unknown:
-        faults.extend(
+        found_problems.extend(
             _unknown_fields(document, entry, "", _FIELDS[entry["kind"]])
         )
-    if faults:
-        return Failure("; ".join(faults))
+    if found_problems:
+        return Failure("; ".join(found_problems))
     return Success(entry)
 
 
 def problems(entries: Entries) -> tuple[str, ...]:
-    """Return what is wrong between the entries of a whole catalogue."""
-    return tuple(_cross_faults(entries))
+    """Return what is wrong between entries, such as unknown references."""
+    return tuple(_cross_entry_problems(entries))
 
 
 def new_problems(before: Entries, after: Entries) -> tuple[str, ...]:
     """Return the problems that a change to the catalogue would add."""
-    known = set(problems(before))
-    found = [item for item in problems(after) if item not in known]
-    return (*found, *_moves(before, after))
+    existing = set(problems(before))
+    added = [item for item in problems(after) if item not in existing]
+    return (*added, *_region_moves(before, after))
 
 
-def _moves(before: Entries, after: Entries) -> Iterator[str]:
-    """Find servers that one change takes from one region to another.
+def _region_moves(before: Entries, after: Entries) -> Iterator[str]:
+    """Find servers that one change moves to another region.
 
-    A request that runs under the former region's units does not count in
-    the units of the new region, so both together would overload the server.
+    Each region has its own quota for the server. Requests that still run
+    under the previous region's units do not count against the new region's,
+    so both together could overload the server.
     """
     wait_s = math.ceil(quota_const.LOAN_S + quota_const.REQUEST_HOLD_S)
-    former = {place: region for _, place, region in _places(before)}
-    for key, (field, value), region in _places(after):
-        known = former.get((field, value), region)
-        if known != region:
+    previous_regions = {
+        server: region for _, server, region in _server_regions(before)
+    }
+    for key, (field, value), region in _server_regions(after):
+        previous = previous_regions.get((field, value), region)
+        if previous != region:
             yield (
-                f"{key}: servers.{field}: {value!r} is in {known}; allowed:"
-                f" no move to {region} in one change. Remove the server,"
-                " wait until the change is in force at every entry host and"
-                f" {wait_s} s longer, then add it there"
+                f"{key}: servers.{field}: {value!r} cannot move from"
+                f" {previous} to {region} in one change; allowed: remove the"
+                " server, wait until that is in force at every entry host"
+                f" and for another {wait_s} s, then add it there"
             )
 
 
-def _places(
+def _server_regions(
     entries: Entries,
 ) -> Iterator[tuple[str, tuple[str, str], str]]:
-    """Return each server's entry, name or address, and region."""
+    """Yield the region of each server, identified by name and by address.
+
+    The first item of each tuple is the key of the server's entry.
+    """
     regions = {
         zone: entry["name"]
         for entry in entries.values()
@@ -135,11 +143,15 @@
             region = regions.get(server["availability_zone"])
             if region is not None:
                 yield key, ("name", server["name"]), region
-                yield key, ("address", _endpoint(server["address"])), region
+                yield (
+                    key,
+                    ("address", _normalize_address(server["address"])),
+                    region,
+                )
 
 
-def _endpoint(address: str) -> str:
-    """Return an address in one form, so that equal ones compare equal."""
+def _normalize_address(address: str) -> str:
+    """Return an address in canonical form, for comparison."""
     host, _, port = address.rpartition(":")
     try:
         parsed = ipaddress.ip_address(host.strip("[]"))
@@ -148,18 +160,21 @@
     return f"{getattr(parsed, 'ipv4_mapped', None) or parsed}:{int(port)}"
 
 
-def _describe(
+def _describe_error(
     error: pydantic.ValidationError, document: object
 ) -> Iterator[str]:
     if not isinstance(document, Mapping):
-        yield f"the entry is {_show(document)}; allowed: a mapping with kind"
+        yield (
+            f"the entry is {_format_value(document)}; allowed: a mapping with"
+            " the field kind"
+        )
         return
     for item in error.errors(include_url=False):
-        # The tag of the union is no field of the document.
+        # For a union, pydantic puts the entry's kind in front of the path.
         location = [
             part
-            for place, part in enumerate(item["loc"])
-            if place or part not in KINDS
+            for index, part in enumerate(item["loc"])
+            if index or part not in KINDS
         ]
         if item["type"].startswith("union_tag"):
             location = ["kind"]
@@ -173,68 +188,73 @@
         allowed = item["msg"].removeprefix("Input should be ")
         if item["type"].startswith("union_tag"):
             allowed = ", ".join(KINDS)
-        yield f"{field}: is {_show(value)}; allowed: {allowed}"
+        yield f"{field}: is {_format_value(value)}; allowed: {allowed}"
 
 
-def _show(value: object) -> str:
-    shown = repr(value)
-    if len(shown) <= MAX_SHOWN_VALUE:
-        return shown
-    return f"{shown[:MAX_SHOWN_VALUE]}..."
+def _format_value(value: object) -> str:
+    text = repr(value)
+    if len(text) <= MAX_SHOWN_CHARS:
+        return text
+    return f"{text[:MAX_SHOWN_CHARS]}..."
 
 
 def _unknown_fields(
-    document: object, checked: object, path: str, allowed: Iterable[str] = ()
+    document: object, validated: object, path: str, allowed: Iterable[str] = ()
 ) -> Iterator[str]:
-    if isinstance(document, Mapping) and isinstance(checked, Mapping):
+    if isinstance(document, Mapping) and isinstance(validated, Mapping):
         for name, value in document.items():
-            if name not in checked:
+            if name not in validated:
                 yield (
-                    f"{path}{name}: is {_show(value)}; allowed fields:"
-                    f" {', '.join(allowed or checked)}"
+                    f"{path}{name}: is {_format_value(value)}; allowed fields:"
+                    f" {', '.join(allowed or validated)}"
                 )
             else:
                 yield from _unknown_fields(
-                    value, checked[name], f"{path}{name}."
+                    value, validated[name], f"{path}{name}."
                 )
-    elif isinstance(document, list) and isinstance(checked, list):
-        for place, pair in enumerate(zip(document, checked, strict=True)):
-            yield from _unknown_fields(*pair, f"{path}{place}.")
+    elif isinstance(document, list) and isinstance(validated, list):
+        for index, pair in enumerate(zip(document, validated, strict=True)):
+            yield from _unknown_fields(*pair, f"{path}{index}.")
 
 
-def _own_faults(entry: Entry) -> Iterator[str]:
+def _entry_problems(entry: Entry) -> Iterator[str]:
     if entry["kind"] == "region":
-        yield from _repeated("availability_zones", entry["availability_zones"])
+        yield from _duplicates(
+            "availability_zones", entry["availability_zones"]
+        )
     elif entry["kind"] == "link":
-        yield from _repeated("regions", entry["regions"])
+        yield from _duplicates("regions", entry["regions"])
     elif entry["kind"] == "backend-service":
         servers = entry["servers"]
-        yield from _repeated("servers.name", (it["name"] for it in servers))
-        yield from _repeated(
-            "servers.address", (_endpoint(it["address"]) for it in servers)
+        yield from _duplicates(
+            "servers.name", (server["name"] for server in servers)
+        )
+        yield from _duplicates(
+            "servers.address",
+            (_normalize_address(server["address"]) for server in servers),
         )
-        for place, server in enumerate(servers):
+        for index, server in enumerate(servers):
             port = int(server["address"].rpartition(":")[2])
             if not 1 <= port <= 65535:
                 yield (
-                    f"servers.{place}.address: is {server['address']!r};"
+                    f"servers.{index}.address: is {server['address']!r};"
                     " allowed: a port from 1 to 65535"
                 )
     else:
         regions = entry.get("regions")
         if regions is not None:
-            yield from _repeated("regions", regions)
+            yield from _duplicates("regions", regions)
             if not regions:
                 yield "regions: is []; allowed: at least one region"
 
 
-def _repeated(field: str, names: Iterable[str]) -> Iterator[str]:
-    for name, count in collections.Counter(names).items():
+def _duplicates(field: str, values: Iterable[str]) -> Iterator[str]:
+    for value, count in collections.Counter(values).items():
         if count > 1:
-            yield f"{field}: has {name!r} {count} times; allowed: once"
+            yield f"{field}: has {value!r} {count} times; allowed: once"
 
 
-def _cross_faults(entries: Entries) -> Iterator[str]:
+def _cross_entry_problems(entries: Entries) -> Iterator[str]:
     regions: dict[str, str] = {}
     zones: dict[str, str] = {}
     services: dict[str, model.BackendServiceEntry] = {}
@@ -250,38 +270,40 @@
                 zones.setdefault(zone, key)
         elif entry["kind"] == "backend-service":
             services[entry["name"]] = entry
-    # A place in a look-up is the name of a zone or of a region.
+    # A look-up names either a zone or a region, so a name must not be both.
     for name in sorted(zones.keys() & regions.keys()):
         yield (
             f"{zones[name]}: availability_zones: {name!r} is also the name"
             f" of {regions[name]}; allowed: another name"
         )
-    yield from _link_faults(entries, regions)
-    yield from _server_faults(entries, zones)
-    yield from _work_faults(entries, regions, zones, services)
-    yield from _size_faults(entries, zones, services)
+    yield from _link_problems(entries, regions)
+    yield from _server_problems(entries, zones)
+    yield from _work_problems(entries, regions, zones, services)
+    yield from _size_problems(entries, zones, services)
 
 
-def _link_faults(
+def _link_problems(
     entries: Entries, regions: Mapping[str, str]
 ) -> Iterator[str]:
-    pairs: dict[frozenset[str], str] = {}
+    link_keys: dict[frozenset[str], str] = {}
     for key, entry in entries.items():
         if entry["kind"] != "link":
             continue
         for name in entry["regions"]:
             if name not in regions:
-                yield _missing(key, "regions", name, "region", regions)
+                yield _unknown_reference(
+                    key, "regions", name, "region", regions
+                )
         pair = frozenset(entry["regions"])
-        if pair in pairs:
+        if pair in link_keys:
             yield (
                 f"{key}: regions: {sorted(pair)} are also linked by"
-                f" {pairs[pair]}; allowed: one link for two regions"
+                f" {link_keys[pair]}; allowed: one link for two regions"
             )
-        pairs.setdefault(pair, key)
+        link_keys.setdefault(pair, key)
 
 
-def _server_faults(
+def _server_problems(
     entries: Entries, zones: Mapping[str, str]
 ) -> Iterator[str]:
     names: dict[str, str] = {}
@@ -292,26 +314,26 @@
         for server in entry["servers"]:
             zone = server["availability_zone"]
             if zone not in zones:
-                yield _missing(
+                yield _unknown_reference(
                     key,
                     f"servers.{server['name']}.availability_zone",
                     zone,
                     "availability zone",
                     zones,
                 )
-            for field, value, taken in (
+            for field, value, known_keys in (
                 ("name", server["name"], names),
-                ("address", _endpoint(server["address"]), addresses),
+                ("address", _normalize_address(server["address"]), addresses),
             ):
-                # Within one entry the entry's own check has reported it.
-                if taken.setdefault(value, key) != key:
+                # _entry_problems reports duplicates within one entry.
+                if known_keys.setdefault(value, key) != key:
                     yield (
                         f"{key}: servers.{field}: {value!r} is also in"
-                        f" {taken[value]}; allowed: a unique {field}"
+                        f" {known_keys[value]}; allowed: a unique {field}"
                     )
 
 
-def _work_faults(
+def _work_problems(
     entries: Entries,
     regions: Mapping[str, str],
     zones: Mapping[str, str],
@@ -320,43 +342,47 @@
     for key, entry in entries.items():
         if entry["kind"] != "work":
             continue
-        wanted = entry.get("regions")
-        for name in wanted or ():
+        allowed_regions = entry.get("regions")
+        for name in allowed_regions or ():
             if name not in regions:
-                yield _missing(key, "regions", name, "region", regions)
+                yield _unknown_reference(
+                    key, "regions", name, "region", regions
+                )
         name = entry["backend_service"]
         if name not in services:
-            yield _missing(
+            yield _unknown_reference(
                 key, "backend_service", name, "backend service", services
             )
-        elif wanted is not None and not any(
+        elif allowed_regions is not None and not any(
             zones.get(server["availability_zone"]) == f"region/{region}"
             for server, region in itertools.product(
-                services[name]["servers"], wanted
+                services[name]["servers"], allowed_regions
             )
         ):
             yield (
-                f"{key}: regions: is {wanted}; allowed: at least one region"
-                f" in which {name!r} has a server"
+                f"{key}: regions: is {allowed_regions}; allowed: at least one"
+                f" region in which {name!r} has a server"
             )
 
 
-def _size_faults(
+def _size_problems(
     entries: Entries,
     zones: Mapping[str, str],
     services: Mapping[str, model.BackendServiceEntry],
 ) -> Iterator[str]:
-    """Find work that can never be sent over a link that it may use."""
+    """Find work whose requests or answers never fit through a link."""
     links = [entry for entry in entries.values() if entry["kind"] == "link"]
     for key, entry in entries.items():
         if entry["kind"] != "work":
             continue
         service = services.get(entry["backend_service"])
-        places = {
+        server_regions = {
             zones.get(server["availability_zone"], "").partition("/")[2]
             for server in (service["servers"] if service else ())
         }
-        used = places & set(entry.get("regions", places))
+        serving_regions = server_regions & set(
+            entry.get("regions", server_regions)
+        )
         for link, (field, size) in itertools.product(
             links,
             (
@@ -364,18 +390,18 @@
                 ("max_answer_bytes", entry["max_answer_bytes"]),
             ),
         ):
-            # The requests of one second share the bytes, header blocks
-            # included.
-            room = link["bytes_per_s"] - quota_const.LINK_HEADER_BYTES
-            if used & set(link["regions"]) and size > room:
+            # All requests sent within one second share bytes_per_s, header
+            # blocks included.
+            max_size = link["bytes_per_s"] - quota_const.LINK_HEADER_BYTES
+            if serving_regions & set(link["regions"]) and size > max_size:
                 yield (
-                    f"{key}: {field}: is {size}; allowed: at most {room},"
-                    f" which link/{link['name']} carries in one second"
+                    f"{key}: {field}: is {size}; allowed: at most {max_size},"
+                    f" which link/{link['name']} can carry in one second"
                 )
 
 
-def _missing(
-    key: str, field: str, name: str, kind: str, known: Iterable[str]
+def _unknown_reference(
+    key: str, field: str, name: str, kind: str, existing: Iterable[str]
 ) -> str:
-    allowed = ", ".join(sorted(known)[:10]) or "none is in the catalogue"
+    allowed = ", ".join(sorted(existing)[:10]) or "none is in the catalogue"
     return f"{key}: {field}: no {kind} {name!r}; allowed: {allowed}"
--- a/src/samphirelug/components/catalogue/view.py
+++ b/src/samphirelug/components/catalogue/view.py
@@ -1,4 +1,4 @@
-"""Answer questions about the catalogue that is in force."""
+"""Provide indexed access to a version of the catalogue."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class CatalogueView:
-    """Index the entries of one catalogue version; never changes."""
+    """Index the entries of one version of the catalogue; immutable."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self.zones: dict[str, core.AvailabilityZone] = {}
         self.servers: dict[str, core.BackendServer] = {}
         self._servers_in: dict[tuple[str, str], list[core.BackendServer]] = {}
-        self._by_distance: dict[str, tuple[str, ...]] = {}
+        self._regions_by_distance: dict[str, tuple[str, ...]] = {}
         for entry in entries:
             if entry["kind"] == "region":
                 self.regions[entry["name"]] = entry
@@ -50,7 +50,10 @@
         return self.links.get(frozenset((region, other)))
 
     def latency_ms(self, region: str, other: str) -> float | None:
-        """Return the one-way delay in ms; None where no link exists."""
+        """Return the one-way delay between regions; None if not linked.
+
+        Within a region, it is the delay between its availability zones.
+        """
         if region == other:
             entry = self.regions.get(region)
             return entry["zone_latency_ms"] if entry else None
@@ -58,15 +61,15 @@
         return link["latency_ms"] if link else None
 
     def regions_by_distance(self, region: str) -> tuple[str, ...]:
-        """Return the region and those linked to it, the nearest first."""
-        known = self._by_distance.get(region)
-        if known is None:
-            known = self._order_by_distance(region)
-            self._by_distance[region] = known
-        return known
+        """Return the region and those linked to it, nearest first."""
+        cached = self._regions_by_distance.get(region)
+        if cached is None:
+            cached = self._order_by_distance(region)
+            self._regions_by_distance[region] = cached
+        return cached
 
     def region_of(self, place: str) -> str | None:
-        """Return the region that a zone's or region's name stands for."""
+        """Return the region for the name of a region or availability zone."""
         if place in self.regions:
             return place
         zone = self.zones.get(place)
@@ -86,13 +89,16 @@
                 self.zones[name] = core.AvailabilityZone(name, region["name"])
 
     def _index_servers(self) -> None:
-        # A catalogue has thousands of servers, and each change builds a view.
+        # Optimized: a catalogue has thousands of servers, and each change of
+        # the catalogue builds a new view.
         zones, servers, servers_in = self.zones, self.servers, self._servers_in
         for service in self.services.values():
             name = service["name"]
             for entry in service["servers"]:
                 zone = zones.get(entry["availability_zone"])
                 if zone is None:
+                    # The region's entry may be missing, for example in a
+                    # catalogue received only in part.
                     continue
                 server = core.BackendServer(
                     entry["name"],
@@ -103,9 +109,9 @@
                     entry["connections"],
                 )
                 servers[server.name] = server
-                place = (name, zone.region)
-                known = servers_in.get(place)
-                if known is None:
-                    servers_in[place] = [server]
+                index_key = (name, zone.region)
+                in_region = servers_in.get(index_key)
+                if in_region is None:
+                    servers_in[index_key] = [server]
                 else:
-                    known.append(server)
+                    in_region.append(server)
--- a/src/samphirelug/components/catalogue/writer.py
+++ b/src/samphirelug/components/catalogue/writer.py
@@ -1,4 +1,4 @@
-"""Write catalogue entries to the store, each exactly once."""
+"""Write catalogue entries to the store, each at most once."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -17,30 +17,30 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-# Bounds how long an operator waits while answers are lost; a store that
-# answers at all settles the outcome within the first of these.
-MAX_TRIES = 6
-FIRST_PAUSE_S = 0.1
-# References point from the later of these kinds to the earlier ones.
-KIND_ORDER = {kind: place for place, kind in enumerate(schema.KINDS)}
+# Bounds how long an operator waits while answers are lost. A store that
+# answers settles the outcome within the first of these.
+MAX_ATTEMPTS = 6
+FIRST_RETRY_DELAY_S = 0.1
+# Entries refer only to entries of kinds with a lower number.
+KIND_ORDER = {kind: number for number, kind in enumerate(schema.KINDS)}
 
 _CONFLICT = result_codes.ResultCode.CATALOGUE_CONFLICT
 _UNKNOWN = result_codes.ResultCode.STORE_OUTCOME_UNKNOWN
 
 
 class Catalogue(NamedTuple):
-    """Hold the store's catalogue as one listing showed it."""
+    """Hold the catalogue as read from the store in one listing."""
 
     revision: int
     entries: Mapping[str, schema.Entry]
     # Revision of each object, tombstones included.
     revisions: Mapping[str, int]
-    # Key to reason, for objects that are not valid.
+    # Key to reason, for objects that are invalid.
     invalid: Mapping[str, str]
 
 
 class EntryOutcome(enum.StrEnum):
-    """Name what became of one entry of a change."""
+    """Name the outcomes of writing one entry of a change."""
 
     APPLIED = "applied"
     UNCHANGED = "unchanged"
@@ -48,22 +48,26 @@
     UNKNOWN = "unknown"
 
 
-class AppliedEntry(NamedTuple):
-    """Tell what became of one entry."""
+class EntryResult(NamedTuple):
+    """Report the outcome of writing one entry."""
 
     key: str
     outcome: EntryOutcome
-    # Of the version that is in the store, 0 where it is not known.
+    # Of the version in the store; 0 if unknown.
     revision: int
 
 
 class ApplyReport(NamedTuple):
-    """Tell what became of every entry of a change, in order."""
+    """Report the outcome of every entry of a change.
 
-    entries: tuple[AppliedEntry, ...]
-    # Why the change stopped; None after a complete one.
+    Unless the change was refused as a whole, unchanged entries come first,
+    the others in the order of the writes.
+    """
+
+    entries: tuple[EntryResult, ...]
+    # Why the change stopped; None if it was completed.
     refusal: result_codes.Refusal | None
-    # Problems that a concurrent change of other entries has caused.
+    # Problems caused by a concurrent change of other entries.
     warnings: tuple[str, ...] = ()
 
     @property
@@ -80,7 +84,7 @@
 
 
 class CatalogueWriter:
-    """Apply operators' changes through conditional writes."""
+    """Apply operators' changes with conditional writes."""
 
     def __init__(
         self,
@@ -108,8 +112,8 @@
     ) -> ApplyReport:
         """Write entries one by one; None deletes an entry.
 
-        Expected holds the revisions that the change was made from; where
-        it has none, the revision read at the start counts.
+        Expected holds the revisions that the change is based on. For entries
+        without one, it is the revision read at the start of the call.
         """
         loaded = await self.load()
         if not isinstance(loaded, Success):
@@ -118,12 +122,12 @@
         for key, revision in (expected or {}).items():
             found = catalogue.revisions.get(key, 0)
             if key in wanted and found != revision:
-                refusal = _conflict(
+                refusal = _conflict_refusal(
                     diff.EntryChange(
                         key, catalogue.entries.get(key), wanted[key]
                     ),
-                    f"the store has revision {found}, the change was made"
-                    f" from revision {revision}; nothing was written",
+                    f"the store has revision {found}, this change is based"
+                    f" on revision {revision}; nothing was written",
                     reason=catalogue.invalid.get(key),
                 )
                 return _nothing_applied(wanted, refusal)
@@ -139,20 +143,20 @@
         ordered: tuple[diff.EntryChange, ...],
     ) -> ApplyReport:
         changed = {change.key for change in ordered}
-        done = [
-            AppliedEntry(
+        results = [
+            EntryResult(
                 key, EntryOutcome.UNCHANGED, catalogue.revisions.get(key, 0)
             )
             for key in wanted
             if key not in changed
         ]
-        for place, change in enumerate(ordered):
+        for index, change in enumerate(ordered):
             written = await self._write(
                 change, catalogue.revisions.get(change.key, 0)
             )
             if isinstance(written, Success):
-                done.append(
-                    AppliedEntry(
+                results.append(
+                    EntryResult(
                         change.key,
                         EntryOutcome.APPLIED,
                         written.unwrap().revision,
@@ -160,30 +164,30 @@
                 )
                 continue
             refusal = written.failure()
-            unknown = refusal.code is _UNKNOWN
-            done.append(
-                AppliedEntry(
+            outcome_unknown = refusal.code is _UNKNOWN
+            results.append(
+                EntryResult(
                     change.key,
                     EntryOutcome.UNKNOWN
-                    if unknown
+                    if outcome_unknown
                     else EntryOutcome.NOT_APPLIED,
                     0,
                 )
             )
-            done.extend(
-                AppliedEntry(later.key, EntryOutcome.NOT_APPLIED, 0)
-                for later in ordered[place + 1 :]
+            results.extend(
+                EntryResult(later.key, EntryOutcome.NOT_APPLIED, 0)
+                for later in ordered[index + 1 :]
             )
-            return ApplyReport(tuple(done), refusal)
+            return ApplyReport(tuple(results), refusal)
         return ApplyReport(
-            tuple(done),
+            tuple(results),
             None,
             await self._warnings(catalogue) if ordered else (),
         )
 
     async def _warnings(self, before: Catalogue) -> tuple[str, ...]:
-        # Writes are conditional per entry, so another operator may have
-        # deleted what an entry refers to since the catalogue was read.
+        # Each write is conditional on its own entry only, so another operator
+        # may meanwhile have deleted an entry that a written one refers to.
         loaded = await self.load()
         if not isinstance(loaded, Success):
             return ()
@@ -192,34 +196,37 @@
     async def _write(
         self, change: diff.EntryChange, expected_revision: int
     ) -> Result[store_model.StoredObject, result_codes.Refusal]:
-        """Write one entry; at most one of the tries takes effect.
+        """Write one entry; at most one of the attempts takes effect.
 
-        All tries carry one change id and one expected revision, so the
-        change id tells whether the version in the store is this change.
+        All attempts carry the same change id and expected revision. The
+        change id shows whether the version in the store is from this change.
         """
         change_id = self.new_change_id()
         key = codec.PREFIX + change.key
         body = codec.encode_body(change_id=change_id, entry=change.after)
-        # A try whose answer was lost may have taken effect; one that met
-        # another revision has not.
-        lost = conflicted = False
+        # An attempt whose answer was lost may have taken effect; one that met
+        # another revision did not.
+        answer_lost = conflicted = False
         refusal = result_codes.Refusal(
-            result_codes.ResultCode.STORE_UNAVAILABLE, "no try was made"
+            result_codes.ResultCode.STORE_UNAVAILABLE, "no attempt was made"
         )
-        for place in range(MAX_TRIES):
-            if place:
-                pause_s = FIRST_PAUSE_S * 2.0 ** (place - 1)
-                await self.timer.sleep(max(pause_s, refusal.retry_after_s))
-            if lost or conflicted:
-                settled = await self._settle(
-                    change, change_id, expected_revision, lost=lost
+        for attempt in range(MAX_ATTEMPTS):
+            if attempt:
+                delay_s = FIRST_RETRY_DELAY_S * 2.0 ** (attempt - 1)
+                await self.timer.sleep(max(delay_s, refusal.retry_after_s))
+            if answer_lost or conflicted:
+                read_back = await self._read_back(
+                    change,
+                    change_id,
+                    expected_revision,
+                    answer_lost=answer_lost,
                 )
-                if isinstance(settled, Failure):
-                    refusal = settled.failure()
+                if isinstance(read_back, Failure):
+                    refusal = read_back.failure()
                     if refusal.code is _CONFLICT:
                         return Failure(refusal)
                     continue
-                found = settled.unwrap()
+                found = read_back.unwrap()
                 if found is not None:
                     return Success(found)
             answer = await self.store.put(
@@ -229,7 +236,7 @@
                 return answer
             refusal = answer.failure()
             if refusal.code is _UNKNOWN:
-                lost = True
+                answer_lost = True
             elif refusal.code is result_codes.ResultCode.STORE_CONFLICT:
                 conflicted = True
             elif refusal.code not in (
@@ -237,34 +244,38 @@
                 result_codes.ResultCode.STORE_BUDGET_EMPTY,
             ):
                 break
-        if lost:
+        if answer_lost:
             return Failure(
                 result_codes.Refusal(
                     _UNKNOWN,
                     f"{change.key}: the change may have taken effect; apply"
-                    f" it again when the store answers ({refusal.detail})",
+                    f" it again once the store answers ({refusal.detail})",
                 )
             )
         if conflicted:
             return Failure(
                 result_codes.Refusal(
                     _CONFLICT,
-                    f"{change.key}: another change took effect first and"
-                    f" could not be read; nothing was written"
+                    f"{change.key}: another change, which could not be read,"
+                    f" took effect first; nothing was written"
                     f" ({refusal.detail})",
                 )
             )
         return Failure(refusal)
 
-    async def _settle(
+    async def _read_back(
         self,
         change: diff.EntryChange,
         change_id: str,
         expected_revision: int,
         *,
-        lost: bool,
+        answer_lost: bool,
     ) -> Result[store_model.StoredObject | None, result_codes.Refusal]:
-        """Read the object back: this change, or None for the old revision."""
+        """Return the object if it is from this change.
+
+        Returns None if the object is unchanged or absent, and a conflict if
+        another change has replaced it.
+        """
         answer = await self.store.get(codec.PREFIX + change.key)
         if not isinstance(answer, Success):
             refusal = answer.failure()
@@ -274,24 +285,24 @@
         found = answer.unwrap()
         if codec.change_id_of(found.value) == change_id:
             return Success(found)
-        # A lower revision is an answer from before the change was made.
+        # A lower revision comes from a stale read.
         if found.revision <= expected_revision:
             return Success(None)
         decoded = codec.decode_object(found)
-        theirs = (
+        stored_entry = (
             decoded.unwrap().entry if isinstance(decoded, Success) else None
         )
         note = "nothing was written"
-        if lost:
+        if answer_lost:
             note = (
                 "an answer was lost, so this change may have been in force"
                 " until the other one replaced it"
             )
         return Failure(
-            _conflict(
-                diff.EntryChange(change.key, theirs, change.after),
-                f"the store has revision {found.revision} of another"
-                f" change, this one was made from revision"
+            _conflict_refusal(
+                diff.EntryChange(change.key, stored_entry, change.after),
+                f"the store has revision {found.revision} from another"
+                f" change, this change is based on revision"
                 f" {expected_revision}; {note}",
                 reason=str(decoded.failure())
                 if isinstance(decoded, Failure)
@@ -301,7 +312,7 @@
 
 
 def read_catalogue(listing: store_model.Listing) -> Catalogue:
-    """Return the catalogue that a listing holds."""
+    """Decode the objects of a listing."""
     entries: dict[str, schema.Entry] = {}
     revisions: dict[str, int] = {}
     invalid: dict[str, str] = {}
@@ -321,7 +332,10 @@
 def order_changes(
     catalogue: Catalogue, wanted: Mapping[str, schema.Entry | None]
 ) -> Result[tuple[diff.EntryChange, ...], result_codes.Refusal]:
-    """Return the changes so that the catalogue is valid after each."""
+    """Return the changes in an order that keeps the catalogue valid.
+
+    Problems that the catalogue already has do not count.
+    """
     missing = [
         key
         for key, entry in wanted.items()
@@ -341,73 +355,76 @@
         for key, entry in wanted.items()
         if entry != catalogue.entries.get(key) or key in catalogue.invalid
     ]
-    final = _changed(catalogue.entries, pending)
-    found = schema.new_problems(catalogue.entries, final)
-    if found:
-        return Failure(_invalid(found))
-    pending.sort(key=_preference)
+    final = _with_changes(catalogue.entries, pending)
+    problems = schema.new_problems(catalogue.entries, final)
+    if problems:
+        return Failure(_invalid_refusal(problems))
+    pending.sort(key=_sort_key)
     entries = dict(catalogue.entries)
     ordered: list[diff.EntryChange] = []
     while pending:
-        blocked: tuple[str, ...] = ()
+        added_problems: tuple[str, ...] = ()
         for change in pending:
-            trial = _changed(entries, [change])
-            blocked = schema.new_problems(catalogue.entries, trial)
-            if not blocked:
+            candidate = _with_changes(entries, [change])
+            added_problems = schema.new_problems(catalogue.entries, candidate)
+            if not added_problems:
                 break
         else:
             return Failure(
-                _invalid(
+                _invalid_refusal(
                     (
-                        "no order of these changes keeps the catalogue"
-                        " valid after each; apply them in steps",
-                        *blocked,
+                        "no order of these changes keeps the catalogue valid"
+                        " after each of them; apply them in several steps",
+                        *added_problems,
                     )
                 )
             )
         pending.remove(change)
-        entries = trial
+        entries = candidate
         ordered.append(change)
     return Success(tuple(ordered))
 
 
-def _preference(change: diff.EntryChange) -> tuple[bool, int]:
-    """Put additions in order of reference first, deletions reversed last."""
-    place = KIND_ORDER[change.key.partition("/")[0]]
+def _sort_key(change: diff.EntryChange) -> tuple[bool, int]:
+    """Return a key that sorts additions by kind, then deletions reversed."""
+    kind_number = KIND_ORDER[change.key.partition("/")[0]]
     if change.after is None:
-        return (True, -place)
-    return (False, place)
+        return (True, -kind_number)
+    return (False, kind_number)
 
 
-def _changed(
-    entries: Mapping[str, schema.Entry], made: list[diff.EntryChange]
+def _with_changes(
+    entries: Mapping[str, schema.Entry], changes: list[diff.EntryChange]
 ) -> dict[str, schema.Entry]:
-    changed = dict(entries)
-    for change in made:
-        changed.pop(change.key, None)
+    result = dict(entries)
+    for change in changes:
+        result.pop(change.key, None)
         if change.after is not None:
-            changed[change.key] = change.after
-    return changed
+            result[change.key] = change.after
+    return result
 
 
-def _invalid(found: tuple[str, ...]) -> result_codes.Refusal:
+def _invalid_refusal(problems: tuple[str, ...]) -> result_codes.Refusal:
     return result_codes.Refusal(
-        result_codes.ResultCode.CATALOGUE_INVALID, "; ".join(found)
+        result_codes.ResultCode.CATALOGUE_INVALID, "; ".join(problems)
     )
 
 
-def _conflict(
+def _conflict_refusal(
     change: diff.EntryChange, detail: str, *, reason: str | None
 ) -> result_codes.Refusal:
-    """Return a conflict that shows the store's and the new version."""
-    theirs = diff.to_yaml(change.before) or "(deleted or absent)\n"
+    """Return a refusal that shows the stored and the new version.
+
+    Reason says why the stored version is invalid; None if it is valid.
+    """
+    stored_text = diff.to_yaml(change.before) or "(deleted or absent)\n"
     if reason is not None:
-        theirs = f"(not valid: {reason})\n"
-    mine = diff.to_yaml(change.after) or "(deleted)\n"
+        stored_text = f"(invalid: {reason})\n"
+    new_text = diff.to_yaml(change.after) or "(deleted)\n"
     return result_codes.Refusal(
         result_codes.ResultCode.CATALOGUE_CONFLICT,
-        f"{change.key}: {detail}\n--- in the store\n{theirs}"
-        f"--- this change\n{mine}",
+        f"{change.key}: {detail}\n--- in the store\n{stored_text}"
+        f"--- this change\n{new_text}",
     )
 
 
@@ -415,8 +432,6 @@
     wanted: Mapping[str, schema.Entry | None], refusal: result_codes.Refusal
 ) -> ApplyReport:
     return ApplyReport(
-        tuple(
-            AppliedEntry(key, EntryOutcome.NOT_APPLIED, 0) for key in wanted
-        ),
+        tuple(EntryResult(key, EntryOutcome.NOT_APPLIED, 0) for key in wanted),
         refusal,
     )
--- a/tests/components/catalogue/cluster.py
+++ b/tests/components/catalogue/cluster.py
@@ -1,4 +1,7 @@
-"""Run entry hosts' catalogue parts on a manual clock, without sockets."""
+"""Simulate how entry hosts synchronise the catalogue.
+
+The hosts run on a manual clock and exchange messages without sockets.
+"""
 
 import asyncio
 import random
@@ -24,7 +27,7 @@
 
 
 class FakeMesh(peers_mesh.PeerMesh):
-    """Deliver messages at once between the hosts of a cluster."""
+    """Deliver messages between the hosts of a cluster without delay."""
 
     def __init__(self, *, cluster: "Cluster", name: str) -> None:
         self.cluster = cluster
@@ -33,9 +36,9 @@
         self.tasks: set[asyncio.Task[object]] = set()
 
     def live_peers(self) -> tuple[peers_model.PeerView, ...]:
-        """Return the hosts on this side of any partition."""
+        """Return the other hosts on the same side of the partition."""
         return tuple(
-            peers_model.PeerView(host.beat, 0.0, True)
+            peers_model.PeerView(host.heartbeat, 0.0, True)
             for name, host in self.cluster.hosts.items()
             if name != self.name and self.cluster.connected(self.name, name)
         )
@@ -43,10 +46,10 @@
     async def request(
         self, host: str, message: peers_model.Message, *, timeout_s: float
     ) -> Result[peers_model.Message, result_codes.Refusal]:
-        """Call the peer's handler."""
+        """Call the peer's handler and return its answer."""
         answer = None
         reachable = self.cluster.connected(self.name, host)
-        if reachable and host not in self.cluster.mute:
+        if reachable and host not in self.cluster.unresponsive:
             mesh = self.cluster.hosts[host].mesh
             answer = await mesh.handlers[type(message)](self.name, message)
         if answer is None:
@@ -59,7 +62,7 @@
         return Success(answer)
 
     def send(self, host: str, message: peers_model.Message) -> None:
-        """Call the peer's handler and forget its answer."""
+        """Call the peer's handler and discard its answer."""
         if self.cluster.connected(self.name, host):
             mesh = self.cluster.hosts[host].mesh
             task = asyncio.ensure_future(
@@ -69,18 +72,18 @@
             task.add_done_callback(self.tasks.discard)
 
     def broadcast(self, message: peers_model.Message) -> None:
-        """Send to all peers."""
+        """Send a message to all connected peers."""
         for name in self.cluster.hosts:
             if name != self.name:
                 self.send(name, message)
 
     def set_handler(self, kind: type, handler: peers_mesh.Handler) -> None:
-        """Keep the handler."""
+        """Register the handler of received messages of a type."""
         self.handlers[kind] = handler
 
 
 class Host:
-    """Hold one running host and its last heartbeat."""
+    """Run CatalogueSync of one host and keep its last heartbeat."""
 
     def __init__(self, *, cluster: "Cluster", name: str, zone: str) -> None:
         self.name = name
@@ -88,7 +91,7 @@
         self.state = catalogue_state.CatalogueState()
         self.mesh = FakeMesh(cluster=cluster, name=name)
         self.store = store_standin.FakeObjectStore(
-            core=cluster.core, timer=cluster.timer
+            core=cluster.store_core, timer=cluster.timer
         )
         self.sync = sync.CatalogueSync(
             state=self.state,
@@ -98,11 +101,11 @@
             rng=cluster.rng,
             host=self.host,
         )
-        self.beat = self.make_beat()
+        self.heartbeat = self.make_heartbeat()
         self.task = asyncio.ensure_future(self.sync.run())
 
-    def make_beat(self) -> peers_model.Heartbeat:
-        """Return a heartbeat with the present position."""
+    def make_heartbeat(self) -> peers_model.Heartbeat:
+        """Return a heartbeat with the current position and state."""
         return peers_model.Heartbeat(
             host=self.host,
             state=core.EntryHostState.SERVING
@@ -122,30 +125,31 @@
 
     def __init__(self, *, seed: int = 0) -> None:
         self.timer = timer_helper.ManualTimerService()
-        self.core = store_standin.StoreCore()
+        self.store_core = store_standin.StoreCore()
         self.rng = random.Random(seed)
         self.hosts: dict[str, Host] = {}
-        self.cut_off: set[str] = set()
-        # Hosts that send heartbeats but do not answer.
-        self.mute: set[str] = set()
-        self.next_beat_s = 0.0
+        # Hosts that can reach each other, but none of the other hosts.
+        self.partitioned: set[str] = set()
+        # Hosts that send heartbeats but do not answer requests.
+        self.unresponsive: set[str] = set()
+        self.next_heartbeat_s = 0.0
 
     def connected(self, name: str, other: str) -> bool:
-        """Tell whether two hosts are on the same side of a partition."""
+        """Return whether two hosts run and are on the same side."""
         return (
             name in self.hosts
             and other in self.hosts
-            and (name in self.cut_off) == (other in self.cut_off)
+            and (name in self.partitioned) == (other in self.partitioned)
         )
 
     def start(self, name: str, *, zone: str = "tallinn-a") -> Host:
-        """Start a host with no state."""
+        """Start a host without a catalogue."""
         host = Host(cluster=self, name=name, zone=zone)
         self.hosts[name] = host
         return host
 
     async def stop(self, name: str) -> None:
-        """Kill a host."""
+        """Stop a host without notice to its peers."""
         host = self.hosts.pop(name)
         host.task.cancel()
         await asyncio.gather(host.task, return_exceptions=True)
@@ -156,29 +160,30 @@
             await self.stop(name)
 
     async def advance(self, delta_s: float) -> None:
-        """Let time pass in small steps, with heartbeats."""
+        """Advance the clock in steps of STEP_S, sending heartbeats."""
         until_s = self.timer.monotonic() + delta_s
         while self.timer.monotonic() < until_s - 1e-9:
             self.timer.advance(STEP_S)
-            if self.timer.monotonic() >= self.next_beat_s:
-                self.next_beat_s = (
+            if self.timer.monotonic() >= self.next_heartbeat_s:
+                self.next_heartbeat_s = (
                     self.timer.monotonic() + const.HEARTBEAT_INTERVAL_S
                 )
                 for host in self.hosts.values():
-                    host.beat = host.make_beat()
+                    host.heartbeat = host.make_heartbeat()
+            # Lets all tasks run until they wait for the clock again.
             for _ in range(12):
                 await asyncio.sleep(0)
             for host in self.hosts.values():
                 assert not host.task.done(), host.task.exception()
 
     def write(self, entry: schema.Entry | None, key: str) -> int:
-        """Write an entry as an operator's command would; return revision."""
-        stored = self.core.objects.get(codec.PREFIX + key)
-        outcome = self.core.put(
+        """Write an entry as a command would and return its revision."""
+        stored = self.store_core.objects.get(codec.PREFIX + key)
+        outcome = self.store_core.put(
             codec.PREFIX + key,
             dict(
                 codec.encode_body(
-                    change_id=str(self.core.revision), entry=entry
+                    change_id=str(self.store_core.revision), entry=entry
                 )
             ),
             stored.revision if stored else 0,
@@ -187,7 +192,7 @@
         return outcome.current.revision
 
     def write_work(self, *, cap: int, name: str = "w") -> int:
-        """Write a work entry that its cap tells apart."""
+        """Write a version of a work entry that its cap identifies."""
         entry = builders.make_work(name, work_class=core.WorkClass.STATUS)
         entry["max_in_flight_per_region"] = cap
         return self.write(entry, f"work/{name}")
--- a/tests/components/catalogue/test_examples.py
+++ b/tests/components/catalogue/test_examples.py
@@ -1,4 +1,4 @@
-"""Test the catalogues of both deployments."""
+"""Test the example catalogues of both deployments."""
 
 import pathlib
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "workers", "slots", "works"),
+    ("name", "server_counts", "slots", "works"),
     [
         (
             "estonia",
@@ -32,17 +32,17 @@
     ],
 )
 def test_example_has_the_sizes_of_the_deployment(
-    name: str, workers: dict[str, int], slots: int, works: set[str]
+    name: str, server_counts: dict[str, int], slots: int, works: set[str]
 ) -> None:
-    """Guard against an example that does not validate or has other sizes."""
+    """Guard against an invalid example, or one unlike its deployment."""
     found = documents.read_files([str(EXAMPLES / f"{name}.yaml")]).unwrap()
     assert schema.problems(found.entries) == ()
     view = catalogue_view.CatalogueView(entries=found.entries.values())
-    sizes = {
+    found_counts = {
         service["name"]: len(service["servers"])
         for service in view.services.values()
     }
-    assert sizes == workers
+    assert found_counts == server_counts
     assert {server.slots for server in view.servers.values()} == {slots}
     assert view.works.keys() == works
     assert (len(view.regions), len(view.zones), len(view.links)) == (3, 6, 3)
@@ -51,9 +51,9 @@
             servers = view.servers_in(service=service, region=zone.region)
             assert any(server.zone == zone for server in servers)
     for region, entry in view.regions.items():
-        in_region = sum(
+        slots_in_region = sum(
             server.slots
             for service in view.services
             for server in view.servers_in(service=service, region=region)
         )
-        assert entry["max_in_flight"] == in_region
+        assert entry["max_in_flight"] == slots_in_region
--- a/tests/components/catalogue/test_schema.py
+++ b/tests/components/catalogue/test_schema.py
@@ -1,4 +1,4 @@
-"""Test what is refused in entries and between them."""
+"""Test the validation of entries and of references between them."""
 
 import copy
 from typing import Any
@@ -15,7 +15,7 @@
 from standins import builders
 
 
-def entries_of_small_view() -> dict[str, schema.Entry]:
+def small_catalogue() -> dict[str, schema.Entry]:
     view = builders.make_view()
     entries: list[schema.Entry] = [
         *view.regions.values(),
@@ -45,15 +45,15 @@
 def test_refusal_names_field_value_and_what_is_allowed(
     change: dict[str, Any], snapshot: SnapshotAssertion
 ) -> None:
-    """Guard against an error text that hides what to correct."""
+    """Guard against an error that does not say what to correct."""
     work = builders.make_work("w", work_class=core.WorkClass.STATUS)
     result = schema.validate_entry({**work, **change}, allow_unknown=False)
     assert isinstance(result, Failure)
     assert result.failure() == snapshot
 
 
-def test_faults_within_an_entry() -> None:
-    """Guard against servers that shadow each other and bad ports."""
+def test_problems_within_an_entry() -> None:
+    """Guard against duplicate names, bad ports and oversized entries."""
     service = builders.make_service("s", zones=["a", "a"])
     service["servers"][0]["address"] = "127.0.0.1:70000"
     text = schema.validate_entry(service, allow_unknown=False).failure()
@@ -74,20 +74,26 @@
 
 
 def test_hosts_accept_fields_of_a_newer_release() -> None:
-    """Guard against hosts that refuse entries during a rolling upgrade."""
+    """Guard against rejected entries during a rolling upgrade.
+
+    Commands of a newer release may already write fields that entry hosts of
+    the older one do not know.
+    """
     work = builders.make_work("w", work_class=core.WorkClass.STATUS)
-    result = schema.validate_entry({**work, "later": 1}, allow_unknown=True)
+    result = schema.validate_entry(
+        {**work, "newer_field": 1}, allow_unknown=True
+    )
     assert result == Success(work)
 
 
 def test_references_between_entries() -> None:
-    """Guard against a catalogue whose references lead nowhere."""
-    entries = entries_of_small_view()
+    """Guard against references to missing entries, and duplicate names."""
+    entries = small_catalogue()
     assert schema.problems(entries) == ()
     for key in ("region/tartu", "backend-service/filing"):
-        rest = {name: it for name, it in entries.items() if name != key}
+        rest = {name: entry for name, entry in entries.items() if name != key}
         assert schema.new_problems(entries, rest)
-        # A problem that was there before does not block other changes.
+        # Existing problems do not block other changes.
         assert schema.new_problems(rest, rest) == ()
     second = builders.make_service("fees", zones=["tartu-a"], per_zone=1)
     second["servers"][0]["name"] = "filing-tartu-a-0"
@@ -119,9 +125,13 @@
         assert part in text
 
 
-def test_server_does_not_change_its_region() -> None:
-    """Guard against slots that count in two regions at the same time."""
-    entries = entries_of_small_view()
+def test_server_cannot_move_to_another_region_in_one_change() -> None:
+    """Guard against a server that is overloaded by two regions' quotas.
+
+    Requests sent under the previous region's quota still occupy its slots
+    when the new region starts to send.
+    """
+    entries = small_catalogue()
     service = builders.make_service(
         "filing", zones=[f"{name}-a" for name in ("tallinn", "tartu", "parnu")]
     )
@@ -132,11 +142,11 @@
     assert schema.new_problems(before, moved) == ()
     servers[0]["availability_zone"] = "tartu-b"
     by_name, by_address = schema.new_problems(before, moved)
-    assert "'filing-tallinn-a-0' is in tallinn; allowed: no move" in by_name
-    assert "33 s longer, then add it there" in by_name
+    assert "'filing-tallinn-a-0' cannot move from tallinn to tartu" in by_name
+    assert "for another 33 s, then add it there" in by_name
     servers[0]["name"] = "renamed"
     assert schema.new_problems(before, moved) == (by_address,)
-    # Both regions in one change, by way of their zones.
+    # Servers also move if their zones move between regions.
     moved = copy.deepcopy(before)
     for name, zone in (("tallinn", "tartu-a"), ("tartu", "tallinn-a")):
         region = moved[f"region/{name}"]
@@ -144,8 +154,8 @@
     assert len(schema.new_problems(before, moved)) == 8
 
 
-def test_equal_addresses_are_found_in_any_form() -> None:
-    """Guard against one server that is used under two names."""
+def test_equal_addresses_are_found_in_any_notation() -> None:
+    """Guard against a server that is used under two names."""
     service = builders.make_service("s", zones=["tartu-a"], per_zone=2)
     service["servers"][1]["address"] = "[::ffff:7f00:1]:09000"
     text = schema.validate_entry(service, allow_unknown=False).failure()
@@ -153,15 +163,15 @@
     other = builders.make_service("t", zones=["tartu-a"], per_zone=1)
     other["servers"][0]["address"] = "[::ffff:7f00:1]:09000"
     found = schema.new_problems(
-        entries_of_small_view(),
-        {**entries_of_small_view(), "backend-service/t": other},
+        small_catalogue(),
+        {**small_catalogue(), "backend-service/t": other},
     )
     assert "servers.address: '127.0.0.1:9000' is also in" in found[0]
 
 
 def test_work_must_fit_through_its_links() -> None:
-    """Guard against work that no amount of waiting can send."""
-    entries = entries_of_small_view()
+    """Guard against work that would wait for its link forever."""
+    entries = small_catalogue()
     slow = builders.make_link("tallinn", "tartu", bytes_per_s=80_000)
     found = schema.new_problems(
         entries, {**entries, "link/tallinn-tartu": slow}
@@ -183,14 +193,16 @@
         ({"change_id": "c", "deleted": False, "entry": None}, "kind"),
     ],
 )
-def test_object_that_is_not_valid(value: dict[str, Any], reason: str) -> None:
-    """Guard against an object body that stops the synchronisation."""
+def test_invalid_object_is_reported(
+    value: dict[str, Any], reason: str
+) -> None:
+    """Guard against an invalid object that stops the synchronisation."""
     stored = store_model.StoredObject("catalogue/work/w", 1, value)
     assert reason in codec.decode_object(stored).failure()
 
 
-def test_object_under_another_name() -> None:
-    """Guard against an entry that replaces one of another name."""
+def test_object_stored_under_the_wrong_key_is_reported() -> None:
+    """Guard against an entry that replaces one with another name."""
     work = builders.make_work("v", work_class=core.WorkClass.STATUS)
     body = codec.encode_body(change_id="c", entry=work)
     stored = store_model.StoredObject("catalogue/work/w", 1, dict(body))
--- a/tests/components/catalogue/test_state.py
+++ b/tests/components/catalogue/test_state.py
@@ -1,4 +1,4 @@
-"""Test that the applied catalogue only moves forward."""
+"""Test that the catalogue in force never reverts to older versions."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -34,7 +34,7 @@
 def version_at(
     store: store_standin.StoreCore, key: str, revision: int
 ) -> model.CatalogueObject | None:
-    """Return the key's version as of a revision, None if not valid."""
+    """Return the key's version as of a revision; None if invalid."""
     found = None
     for item in store.history:
         if item.key == f"catalogue/{key}" and item.revision <= revision:
@@ -42,9 +42,10 @@
     return codec.decode_object(found).value_or(None) if found else None
 
 
-def assert_position_is_true(
+def assert_position_is_complete(
     store: store_standin.StoreCore, state: catalogue_state.CatalogueState
 ) -> None:
+    """Check that the state has all valid versions up to its position."""
     for key in KEYS:
         newest = version_at(store, key, state.position)
         if newest is not None:
@@ -67,35 +68,36 @@
 def test_versions_never_go_back(
     steps: list[tuple[str, int, int, bool, bool]],
 ) -> None:
-    """Guard against old news, stale lists and gaps that revert an entry.
+    """Guard against an entry that reverts, or is lost below the position.
 
-    Sources are stale by any number of revisions and come in any order.
+    Listings, watches and deltas of peers arrive in any order, may be stale by
+    any number of revisions, and may start beyond the position.
     """
     store = store_standin.StoreCore()
     states = [catalogue_state.CatalogueState() for _ in range(3)]
     before: list[dict[str, int]] = [{} for _ in states]
-    for step, who, age, valid, deleted in steps:
-        state = states[who]
+    for step, number, age, valid, deleted in steps:
+        state = states[number]
         after = max(0, state.position - age)
         if step == "write":
-            write(store, KEYS[who], valid=valid, deleted=deleted)
+            write(store, KEYS[number], valid=valid, deleted=deleted)
         elif step == "list":
             store.faults.stale_by = age
             state.apply_listing(store.list(codec.PREFIX))
         elif step == "watch":
-            # An answer may also start beyond the position.
+            # The answer may also start beyond the position.
             start = after if valid else state.position + age
             state.apply_watch(store.changes(codec.PREFIX, start), start)
         else:
-            other = states[(who + 1) % 3]
+            other = states[(number + 1) % 3]
             start = after if valid else state.position + age
             state.apply_delta(other.delta_since(start))
         for known, each in zip(before, states, strict=True):
-            found = {key: it.revision for key, it in each.objects.items()}
+            found = {key: item.revision for key, item in each.objects.items()}
             found["position"] = each.position
             assert all(found[key] >= known[key] for key in known)
             known.update(found)
-            assert_position_is_true(store, each)
+            assert_position_is_complete(store, each)
             works = each.view.works
             for key, item in each.objects.items():
                 name = key.partition("/")[2]
@@ -113,12 +115,12 @@
                 assert key in state.rejected
 
 
-def test_invalid_entry_leaves_the_former_version_in_force() -> None:
-    """Guard against an entry that vanishes when its update is not valid."""
+def test_invalid_entry_leaves_the_previous_version_in_force() -> None:
+    """Guard against an entry that disappears when its update is invalid."""
     store = store_standin.StoreCore()
-    calls: list[int] = []
+    changed_positions: list[int] = []
     state = catalogue_state.CatalogueState(
-        on_change=lambda: calls.append(state.position)
+        on_change=lambda: changed_positions.append(state.position)
     )
     write(store, "work/a", valid=True, deleted=False)
     state.apply_watch(store.changes(codec.PREFIX, 0), 0)
@@ -133,11 +135,11 @@
     write(store, "work/a", valid=True, deleted=True)
     state.apply_watch(store.changes(codec.PREFIX, 2), 2)
     assert (dict(state.rejected), state.view.works) == ({}, {})
-    assert calls == [1, 3]
+    assert changed_positions == [1, 3]
 
 
-def test_large_delta_comes_in_parts() -> None:
-    """Guard against a delta above the limit of a peer message."""
+def test_large_delta_is_split_into_parts() -> None:
+    """Guard against a delta that exceeds the limit of a peer message."""
     store = store_standin.StoreCore()
     for name in "abcde":
         entry = builders.make_work(name, work_class=core.WorkClass.STATUS)
@@ -157,28 +159,32 @@
     assert peer.objects == state.objects
 
 
-def test_left_out_change_is_repaired_and_passed_on() -> None:
-    """Guard against a skipped change that no later answer brings back."""
+def test_late_change_is_merged_and_passed_on() -> None:
+    """Guard against a change that is lost because a watch left it out."""
     store = store_standin.StoreCore()
     for key in KEYS:
         write(store, key, valid=True, deleted=False)
     full = store.changes(codec.PREFIX, 0)
-    skipped = full._replace(objects=(full.objects[0], full.objects[2]))
+    incomplete = full._replace(objects=(full.objects[0], full.objects[2]))
     state = catalogue_state.CatalogueState()
-    state.apply_watch(skipped, 0)
+    state.apply_watch(incomplete, 0)
     peer = catalogue_state.CatalogueState()
     peer.apply_delta(state.delta_since(0))
-    assert state.take_repair() is None
+    assert state.pop_repair() is None
     state.apply_watch(full, 0)
-    repair = state.take_repair()
+    repair = state.pop_repair()
     assert repair is not None
     peer.apply_delta(repair)
     assert peer.objects == state.objects
-    assert state.take_repair() is None
+    assert state.pop_repair() is None
 
 
-def test_delta_holds_what_replaced_an_older_version() -> None:
-    """Guard against a delta that lacks an entry changed since its end."""
+def test_delta_includes_changes_beyond_the_position() -> None:
+    """Guard against a delta without an entry that has changed again.
+
+    The version that it had at the position is gone, so that a receiver of
+    the position would have none at all.
+    """
     store = store_standin.StoreCore()
     write(store, "work/a", valid=True, deleted=False)
     state = catalogue_state.CatalogueState()
@@ -191,4 +197,4 @@
     peer.apply_delta(state.delta_since(0))
     assert peer.position == 1
     assert peer.objects["work/a"].revision == 3
-    assert_position_is_true(store, peer)
+    assert_position_is_complete(store, peer)
--- a/tests/components/catalogue/test_sync.py
+++ b/tests/components/catalogue/test_sync.py
@@ -1,4 +1,4 @@
-"""Test how hosts follow the catalogue through faults."""
+"""Test how hosts synchronise the catalogue in spite of faults."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -16,18 +16,19 @@
 from tests.components.catalogue import cluster as catalogue_cluster
 
 
-def run(
+def run_in_cluster(
     body: Callable[[catalogue_cluster.Cluster], Awaitable[None]],
 ) -> None:
-    async def wrapped() -> None:
+    async def run_body() -> None:
         cluster = catalogue_cluster.Cluster()
         await body(cluster)
         await cluster.close()
 
-    asyncio.run(wrapped())
+    asyncio.run(run_body())
 
 
-def caps(cluster: catalogue_cluster.Cluster) -> dict[str, int]:
+def served_caps(cluster: catalogue_cluster.Cluster) -> dict[str, int]:
+    """Return the cap of work entry "w" that each host has in force."""
     return {
         name: host.state.view.works["w"]["max_in_flight_per_region"]
         for name, host in cluster.hosts.items()
@@ -49,57 +50,57 @@
         for cap in range(2, 8):
             cluster.write_work(cap=cap)
             await cluster.advance(4.0)
-            assert set(caps(cluster).values()) == {cap}
-        assert cluster.core.waiting <= 4
+            assert set(served_caps(cluster).values()) == {cap}
+        assert cluster.store_core.waiting <= 4
 
-    run(body)
+    run_in_cluster(body)
 
 
-def test_host_that_restarts_in_an_outage_takes_the_peers_catalogue() -> None:
-    """Guard against a restarted host that waits for the store."""
+def test_host_that_restarts_in_an_outage_pulls_the_peers_catalogue() -> None:
+    """Guard against a restarted host that cannot serve without the store."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=5)
         for name in ("a1", "a2", "a3"):
             cluster.start(name)
         await cluster.advance(8.0)
-        cluster.core.faults.down = True
+        cluster.store_core.faults.down = True
         await cluster.stop("a1")
         host = cluster.start("a1")
         await cluster.advance(3.0)
         assert host.sync.ready
-        assert caps(cluster) == {"a1": 5, "a2": 5, "a3": 5}
+        assert served_caps(cluster) == {"a1": 5, "a2": 5, "a3": 5}
 
-    run(body)
+    run_in_cluster(body)
 
 
 def test_host_does_not_serve_an_older_catalogue_than_its_peers() -> None:
-    """Guard against a stale listing after a restart."""
+    """Guard against serving from a stale listing after a restart."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         for cap in range(1, 6):
             cluster.write_work(cap=cap)
         cluster.start("a1")
         await cluster.advance(8.0)
-        cluster.core.faults.stale_by = 3
-        cluster.mute.add("a1")
+        cluster.store_core.faults.stale_by = 3
+        cluster.unresponsive.add("a1")
         host = cluster.start("a2")
         for _ in range(20):
             await cluster.advance(1.0)
             assert not host.sync.ready
-        assert caps(cluster) == {"a1": 5, "a2": 2}
-        cluster.mute.clear()
+        assert served_caps(cluster) == {"a1": 5, "a2": 2}
+        cluster.unresponsive.clear()
         await cluster.advance(3.0)
         assert host.sync.ready
-        assert caps(cluster)["a2"] == 5
+        assert served_caps(cluster)["a2"] == 5
 
-    run(body)
+    run_in_cluster(body)
 
 
 def test_host_with_part_of_a_catalogue_is_not_ready(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guard against serving when the peer dies between two parts."""
+    """Guard against serving when the peer stops between two parts."""
     monkeypatch.setattr(catalogue_state, "MAX_DELTA_BYTES", 400)
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
@@ -107,7 +108,7 @@
             cluster.write_work(cap=1, name=name)
         cluster.start("a1")
         await cluster.advance(8.0)
-        cluster.core.faults.down = True
+        cluster.store_core.faults.down = True
         host = cluster.start("a2")
         while not host.state.objects:
             await cluster.advance(0.1)
@@ -116,22 +117,26 @@
         await cluster.stop("a1")
         await cluster.advance(20.0)
         assert not host.sync.ready
-        # It is no source for others either.
+        # Other hosts must not pull from it either.
         other = cluster.start("a3")
         await cluster.advance(10.0)
         assert not other.state.position
-        cluster.core.faults.down = False
+        cluster.store_core.faults.down = False
         await cluster.advance(5.0)
         assert host.sync.ready
         assert len(host.state.view.works) == 4
 
-    run(body)
+    run_in_cluster(body)
 
 
-def test_position_stays_while_a_large_delta_comes_in_parts(
+def test_position_stays_until_the_last_part_of_a_large_delta(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guard against a position above a version that no part holds."""
+    """Guard against a position that claims changes not yet received.
+
+    An entry that changes again appears only in a later part, with its latest
+    version, so no earlier part is complete up to its revision.
+    """
     monkeypatch.setattr(catalogue_state, "MAX_DELTA_BYTES", 400)
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
@@ -141,26 +146,29 @@
         host.store.reachable = False
         await cluster.advance(8.0)
         before = host.state.position
-        cluster.cut_off.add("a2")
+        cluster.partitioned.add("a2")
         for name in "abcdea":
             cluster.write_work(cap=2, name=name)
         await cluster.advance(4.0)
-        cluster.cut_off.clear()
+        cluster.partitioned.clear()
         positions: set[int] = set()
         while host.state.position < first.state.position:
             await cluster.advance(0.1)
             positions.add(host.state.position)
-            # The change of "a" to cap 2 came first and again last.
+            # Work "a" changed to cap 2 first, and again last.
             if host.state.position > before:
                 works = host.state.view.works
                 assert works["a"]["max_in_flight_per_region"] == 2
         assert positions == {before, first.state.position}
 
-    run(body)
+    run_in_cluster(body)
 
 
-def test_host_fed_by_peers_reports_rejected_entries() -> None:
-    """Guard against a change that is reported as in force and is not."""
+def test_host_without_the_store_reports_rejected_entries() -> None:
+    """Guard against a rejected change that is reported as in force.
+
+    A host that pulls from peers never receives the invalid entry itself.
+    """
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=1)
@@ -170,37 +178,39 @@
         await cluster.advance(8.0)
         key = "catalogue/work/w"
         value = {"change_id": "c", "deleted": False, "entry": {"kind": "no"}}
-        cluster.core.put(key, value, cluster.core.objects[key].revision)
+        cluster.store_core.put(
+            key, value, cluster.store_core.objects[key].revision
+        )
         await cluster.advance(4.0)
         assert list(host.state.rejected) == ["work/w"]
-        assert caps(cluster) == {"a1": 1, "a2": 1}
+        assert served_caps(cluster) == {"a1": 1, "a2": 1}
         cluster.write_work(cap=3)
         await cluster.advance(4.0)
         assert not host.state.rejected
-        assert caps(cluster) == {"a1": 3, "a2": 3}
+        assert served_caps(cluster) == {"a1": 3, "a2": 3}
 
-    run(body)
+    run_in_cluster(body)
 
 
-def test_start_without_any_source() -> None:
-    """Guard against serving without a catalogue, and never recovering."""
+def test_start_without_store_or_peers() -> None:
+    """Guard against serving without a catalogue, or never recovering."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=1)
-        cluster.core.faults.down = True
+        cluster.store_core.faults.down = True
         host = cluster.start("a1")
         await cluster.advance(30.0)
         assert not host.sync.ready
-        assert sum(cluster.core.calls.values()) < 30
-        cluster.core.faults.down = False
+        assert sum(cluster.store_core.calls.values()) < 30
+        cluster.store_core.faults.down = False
         await cluster.advance(4.0)
         assert host.sync.ready
 
-    run(body)
+    run_in_cluster(body)
 
 
-def test_hosts_read_the_store_when_their_watchers_cannot() -> None:
-    """Guard against a zone that hears only from watchers without a store."""
+def test_hosts_read_the_store_if_their_watchers_cannot() -> None:
+    """Guard against a zone that relies on watchers cut off from the store."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=1)
@@ -213,13 +223,16 @@
         await cluster.advance(
             sync.FALLBACK_WAIT_S + sync.FALLBACK_JITTER_S + 2.0
         )
-        assert set(caps(cluster).values()) == {2}
+        assert set(served_caps(cluster).values()) == {2}
 
-    run(body)
+    run_in_cluster(body)
 
 
 def test_change_that_a_watch_skips_is_in_force_within_4_s() -> None:
-    """Guard against trust in the position of an answer that skips."""
+    """Guard against a change that is lost if a watch leaves it out.
+
+    The answer has the newest revision, but lacks changes before it.
+    """
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=1)
@@ -228,57 +241,64 @@
         cluster.start("b1", zone="tartu-a")
         await cluster.advance(8.0)
         for cap in (2, 3):
-            cluster.core.faults.skip_watch_answers = 3
+            cluster.store_core.faults.skip_watch_answers = 3
             cluster.write_work(cap=cap)
             await cluster.advance(4.0)
-            assert cluster.core.faults.skip_watch_answers == 0
-            assert set(caps(cluster).values()) == {cap}
+            assert cluster.store_core.faults.skip_watch_answers == 0
+            assert set(served_caps(cluster).values()) == {cap}
 
-    run(body)
+    run_in_cluster(body)
 
 
 def test_fleet_that_starts_at_once_lists_once_per_watcher() -> None:
-    """Guard against a start that uses up the store's budget."""
+    """Guard against listings by all hosts, which use up the store's budget."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=1)
-        for place in range(12):
-            cluster.start(f"a{place}")
+        for number in range(12):
+            cluster.start(f"a{number}")
         await cluster.advance(6.0)
         assert all(host.sync.ready for host in cluster.hosts.values())
-        assert cluster.core.calls["list"] <= sync.WATCHERS_PER_ZONE
+        assert cluster.store_core.calls["list"] <= sync.WATCHERS_PER_ZONE
 
-    run(body)
+    run_in_cluster(body)
 
 
-def test_calls_while_the_store_is_down_and_when_it_returns() -> None:
-    """Guard against retries without a pause and a change that waits."""
+def test_store_calls_during_and_after_an_outage() -> None:
+    """Guard against retries without a pause, and against late recovery."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
         cluster.write_work(cap=1)
         for name in ("a1", "a2", "a3", "a4"):
             cluster.start(name)
         await cluster.advance(8.0)
-        cluster.core.faults.down = True
+        cluster.store_core.faults.down = True
         await cluster.advance(4.0)
-        cluster.core.calls.clear()
+        cluster.store_core.calls.clear()
         await cluster.advance(60.0)
-        assert sum(cluster.core.calls.values()) <= 2 * 60 + 2 * 6
+        assert sum(cluster.store_core.calls.values()) <= 2 * 60 + 2 * 6
         assert all(host.sync.ready for host in cluster.hosts.values())
         cluster.write_work(cap=2)
-        cluster.core.faults.down = False
+        cluster.store_core.faults.down = False
         await cluster.advance(4.0)
-        assert set(caps(cluster).values()) == {2}
+        assert set(served_caps(cluster).values()) == {2}
 
-    run(body)
+    run_in_cluster(body)
 
 
-KINDS = (
-    *("write", "delete", "bad", "restart", "cut", "heal"),
-    *("mute", "down", "up", "slow", "stale", "skip"),
+ACTIONS = (
+    *("write", "delete", "write_invalid", "restart", "partition", "heal"),
+    *(
+        "silence",
+        "store_down",
+        "store_up",
+        "store_slow",
+        "store_stale",
+        "skip_watch",
+    ),
 )
 STEPS = strategies.tuples(
-    strategies.sampled_from(KINDS),
+    strategies.sampled_from(ACTIONS),
     strategies.sampled_from(["a1", "a2", "a3", "b1"]),
     strategies.sampled_from([0.3, 1.0, 3.0]),
 )
@@ -289,26 +309,29 @@
 def test_no_host_reverts_and_all_agree_in_the_end(
     seed: int, steps: list[tuple[str, str, float]]
 ) -> None:
-    """Guard against old news through restarts, outages and partitions.
+    """Guard against outdated catalogues after faults, and lasting divergence.
 
-    A running host's versions never go back. A host that becomes ready is
-    not behind the hosts that it was connected to when it started.
+    The versions of a running host never go back, whatever restarts, outages
+    and partitions happen. A host that becomes ready is not behind the hosts
+    that it was connected to when it started.
     """
-    asyncio.run(follow_schedule(seed, steps))
+    asyncio.run(run_schedule(seed, steps))
 
 
-class Watchdog:
-    """Compare what hosts serve with what they served before."""
+class RegressionChecker:
+    """Check that no host reverts to older versions."""
 
     def __init__(self, *, cluster: catalogue_cluster.Cluster) -> None:
         self.cluster = cluster
-        self.seen: dict[str, dict[str, int]] = {}
-        self.floors: dict[str, dict[str, int]] = {}
-
-    def started(self, name: str) -> None:
-        """Forget the former incarnation and note what others serve."""
-        self.seen[name] = {}
-        self.floors[name] = {
+        # Revisions by entry key, and the position, of each running host.
+        self.revisions: dict[str, dict[str, int]] = {}
+        # Positions of ready peers when a host started, until it is ready.
+        self.ready_positions: dict[str, dict[str, int]] = {}
+
+    def note_start(self, name: str) -> None:
+        """Forget the host's previous run and record its peers' positions."""
+        self.revisions[name] = {}
+        self.ready_positions[name] = {
             other: host.state.position
             for other, host in self.cluster.hosts.items()
             if other != name
@@ -317,69 +340,69 @@
         }
 
     def check(self) -> None:
-        """Fail when a host went back."""
+        """Fail if a host has reverted or became ready too early."""
         for name, host in self.cluster.hosts.items():
-            seen = self.seen[name]
-            found = {k: it.revision for k, it in host.state.objects.items()}
+            previous = self.revisions[name]
+            found = {
+                key: item.revision for key, item in host.state.objects.items()
+            }
             found["position"] = host.state.position
-            assert all(found[key] >= seen[key] for key in seen)
-            seen.update(found)
+            assert all(found[key] >= previous[key] for key in previous)
+            previous.update(found)
             if not host.sync.ready:
                 continue
-            for other, floor in self.floors.pop(name, {}).items():
+            for other, position in self.ready_positions.pop(name, {}).items():
                 if self.cluster.connected(name, other):
-                    assert host.state.position >= floor
+                    assert host.state.position >= position
 
 
-async def follow_schedule(
-    seed: int, steps: list[tuple[str, str, float]]
-) -> None:
+async def run_schedule(seed: int, steps: list[tuple[str, str, float]]) -> None:
     cluster = catalogue_cluster.Cluster(seed=seed)
-    watchdog = Watchdog(cluster=cluster)
-    faults = cluster.core.faults
+    checker = RegressionChecker(cluster=cluster)
+    faults = cluster.store_core.faults
     zones = {"a1": "tallinn-a", "a2": "tallinn-a", "a3": "tallinn-a"}
 
     async def advance(delta_s: float) -> None:
         for _ in range(round(delta_s / catalogue_cluster.STEP_S)):
             await cluster.advance(catalogue_cluster.STEP_S)
-            watchdog.check()
+            checker.check()
 
     cluster.write_work(cap=1)
     for name in ("a1", "a2", "a3", "b1"):
         cluster.start(name, zone=zones.get(name, "tartu-a"))
-        watchdog.started(name)
+        checker.note_start(name)
     await advance(5.0)
-    for step, name, pause_s in steps:
-        if step == "write":
-            cluster.write_work(cap=cluster.core.revision + 1)
-        elif step == "delete":
+    for action, name, pause_s in steps:
+        if action == "write":
+            cluster.write_work(cap=cluster.store_core.revision + 1)
+        elif action == "delete":
             cluster.write(None, "work/w")
-        elif step == "bad":
+        elif action == "write_invalid":
             entry = builders.make_work("w", work_class=core.WorkClass.ORDER)
             entry["deadline_s"] = -1.0
             cluster.write(entry, "work/w")
-        elif step == "restart":
+        elif action == "restart":
             await cluster.stop(name)
-            cluster.cut_off.discard(name)
+            cluster.partitioned.discard(name)
             cluster.start(name, zone=zones.get(name, "tartu-a"))
-            watchdog.started(name)
-        elif step == "cut":
-            cluster.cut_off.add(name)
+            checker.note_start(name)
+        elif action == "partition":
+            cluster.partitioned.add(name)
             cluster.hosts[name].store.reachable = False
-        elif step == "mute":
-            cluster.mute.add(name)
-        elif step == "heal":
-            cluster.cut_off.clear()
-            cluster.mute.clear()
+        elif action == "silence":
+            cluster.unresponsive.add(name)
+        elif action == "heal":
+            cluster.partitioned.clear()
+            cluster.unresponsive.clear()
             for host in cluster.hosts.values():
                 host.store.reachable = True
-        elif step == "down":
+        elif action == "store_down":
             faults.down = True
-        elif step == "up":
+        elif action == "store_up":
             faults.update({"down": False, "delay_s": 0.0, "stale_by": 0})
-        elif step == "slow":
+        elif action == "store_slow":
             faults.delay_s = 1.0
-        elif step == "stale":
+        elif action == "store_stale":
             faults.stale_by = 2
         else:
             faults.skip_watch_answers = 1
@@ -392,11 +415,11 @@
             "skip_watch_answers": 0,
         }
     )
-    cluster.cut_off.clear()
-    cluster.mute.clear()
+    cluster.partitioned.clear()
+    cluster.unresponsive.clear()
     for host in cluster.hosts.values():
         host.store.reachable = True
-    revision = cluster.write_work(cap=cluster.core.revision + 1)
+    revision = cluster.write_work(cap=cluster.store_core.revision + 1)
     await advance(8.0)
     for host in cluster.hosts.values():
         assert host.sync.ready
--- a/tests/components/catalogue/test_writer.py
+++ b/tests/components/catalogue/test_writer.py
@@ -1,4 +1,4 @@
-"""Test that operators' changes take effect exactly once, or truthfully not."""
+"""Test that changes take effect at most once and are reported correctly."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -26,11 +26,19 @@
 Value = TypeVar("Value")
 CODES = result_codes.ResultCode
 OUTCOMES = catalogue_writer.EntryOutcome
-FAULTS = ("none", "lose_answer", "lose_request", "late", "unsent", "dead")
+# What happens to one write; after "lose_store" the store is unreachable.
+FAULTS = (
+    "none",
+    "lose_answer",
+    "lose_request",
+    "delay_request",
+    "refuse",
+    "lose_store",
+)
 
 
 class FaultyStore(store_standin.FakeObjectStore):
-    """Meet each write of one operator with the next planned fault."""
+    """Apply the next planned fault to each write of one operator."""
 
     def __init__(
         self,
@@ -47,12 +55,12 @@
     ) -> Result[store_model.StoredObject, result_codes.Refusal]:
         """Write with the planned fault."""
         fault = next(self.plan, "none")
-        if fault == "unsent":
+        if fault == "refuse":
             return Failure(
                 result_codes.Refusal(CODES.STORE_UNAVAILABLE, "refused")
             )
-        if fault == "late":
-            # The client gives up; the store has the call only later.
+        if fault == "delay_request":
+            # The client times out before the store receives the request.
             self.timer.call_at(
                 when_s=self.timer.monotonic() + 0.25,
                 callback=lambda: (
@@ -65,7 +73,7 @@
             )
             if fault == "none":
                 return answer
-        if fault == "dead":
+        if fault == "lose_store":
             self.reachable = False
         return Failure(
             result_codes.Refusal(CODES.STORE_OUTCOME_UNKNOWN, "lost")
@@ -86,10 +94,11 @@
     )
 
 
-async def drive(
-    timer: timer_helper.ManualTimerService, *work: Awaitable[Value]
+async def run_tasks(
+    timer: timer_helper.ManualTimerService, *awaitables: Awaitable[Value]
 ) -> list[Value]:
-    tasks = [asyncio.ensure_future(item) for item in work]
+    """Advance the clock until all awaitables are done; return results."""
+    tasks = [asyncio.ensure_future(item) for item in awaitables]
     while not all(task.done() for task in tasks):
         for _ in range(8):
             await asyncio.sleep(0)
@@ -97,7 +106,7 @@
     return [task.result() for task in tasks]
 
 
-def run(
+def apply_change(
     store: store_standin.StoreCore,
     wanted: Mapping[str, schema.Entry | None],
     *,
@@ -107,7 +116,9 @@
     async def body() -> catalogue_writer.ApplyReport:
         timer = timer_helper.ManualTimerService()
         writer = make_writer(store, timer, "op", plan)
-        return (await drive(timer, writer.apply(wanted, expected=expected)))[0]
+        return (
+            await run_tasks(timer, writer.apply(wanted, expected=expected))
+        )[0]
 
     return asyncio.run(body())
 
@@ -129,7 +140,7 @@
     return {schema.entry_key(entry): entry for entry in entries}
 
 
-def keys_by(
+def keys_with_outcome(
     report: catalogue_writer.ApplyReport, outcome: OUTCOMES
 ) -> list[str]:
     return [item.key for item in report.entries if item.outcome is outcome]
@@ -140,16 +151,19 @@
 
 @settings(max_examples=300, deadline=None)
 @given(PLANS, PLANS, strategies.integers(0, 20), strategies.booleans())
-def test_two_operators_and_lost_answers(
-    first: list[str], second: list[str], delay: int, deleting: bool
+def test_concurrent_operators_with_lost_requests_and_answers(
+    first_plan: list[str],
+    second_plan: list[str],
+    delay_steps: int,
+    deleting: bool,
 ) -> None:
-    """Guard against a write that takes effect twice or is lost in silence.
+    """Guard against writes that take effect twice or fail unnoticed.
 
     Both operators change the entry from the same revision, so at most one
-    change takes effect, and each operator is told what became of its own.
+    change takes effect, and each report states the outcome of its own change.
     """
     store = store_standin.StoreCore()
-    run(store, {**small_catalogue(), "work/w": make_work(1)})
+    apply_change(store, {**small_catalogue(), "work/w": make_work(1)})
     start = store.revision
     expected = {"work/w": store.objects["catalogue/work/w"].revision}
 
@@ -157,19 +171,19 @@
         timer = timer_helper.ManualTimerService()
         store.faults.delay_s = 0.07
 
-        async def late() -> catalogue_writer.ApplyReport:
-            await timer.sleep(delay * 0.05)
-            return await make_writer(store, timer, "b", second).apply(
+        async def apply_second() -> catalogue_writer.ApplyReport:
+            await timer.sleep(delay_steps * 0.05)
+            return await make_writer(store, timer, "b", second_plan).apply(
                 {"work/w": None if deleting else make_work(3)},
                 expected=expected,
             )
 
-        reports = await drive(
+        reports = await run_tasks(
             timer,
-            make_writer(store, timer, "a", first).apply(
+            make_writer(store, timer, "a", first_plan).apply(
                 {"work/w": make_work(2)}, expected=expected
             ),
-            late(),
+            apply_second(),
         )
         timer.advance(5.0)
         return reports
@@ -182,20 +196,20 @@
     ]
     assert len(written) <= 1
     for name, report in zip("ab", reports, strict=True):
-        mine = written == [f"{name}-0"]
+        own_change = written == [f"{name}-0"]
         outcome = report.entries[0].outcome
         code = report.refusal.code if report.refusal else CODES.OK
         if outcome is OUTCOMES.APPLIED:
             assert code is CODES.OK
-            assert mine
+            assert own_change
             assert report.revision == store.revision
         elif outcome is OUTCOMES.NOT_APPLIED:
             assert code in (CODES.CATALOGUE_CONFLICT, CODES.STORE_UNAVAILABLE)
-            assert not mine
+            assert not own_change
         else:
             assert code is CODES.STORE_OUTCOME_UNKNOWN
-    if not {"dead", "unsent"} & {*first, *second}:
-        # With a store that can be read, nobody is left in doubt.
+    if not {"lose_store", "refuse"} & {*first_plan, *second_plan}:
+        # If the store can be read, no outcome remains unknown.
         codes = sorted(
             report.refusal.code if report.refusal else CODES.OK
             for report in reports
@@ -206,37 +220,39 @@
 def test_conflict_shows_both_versions() -> None:
     """Guard against a conflict that hides the other operator's change."""
     store = store_standin.StoreCore()
-    run(store, {**small_catalogue(), "work/w": make_work(1)})
+    apply_change(store, {**small_catalogue(), "work/w": make_work(1)})
     base = store.objects["catalogue/work/w"].revision
-    run(store, {"work/w": make_work(2)})
-    report = run(store, {"work/w": make_work(3)}, expected={"work/w": base})
+    apply_change(store, {"work/w": make_work(2)})
+    report = apply_change(
+        store, {"work/w": make_work(3)}, expected={"work/w": base}
+    )
     assert report.refusal is not None
     assert report.refusal.code is CODES.CATALOGUE_CONFLICT
     assert "max_in_flight_per_region: 2" in report.refusal.detail
     assert "max_in_flight_per_region: 3" in report.refusal.detail
-    report = run(store, {"work/w": None}, expected={"work/w": base})
+    report = apply_change(store, {"work/w": None}, expected={"work/w": base})
     assert report.refusal is not None
     assert "(deleted)" in report.refusal.detail
 
 
-def test_file_is_applied_in_an_order_of_references() -> None:
-    """Guard against an entry whose references are not there yet."""
+def test_file_is_applied_in_the_order_of_references() -> None:
+    """Guard against an entry that is written before those it refers to."""
     store = store_standin.StoreCore()
     wanted = small_catalogue()
-    report = run(store, wanted)
+    report = apply_change(store, wanted)
     assert report.refusal is None
-    assert set(keys_by(report, OUTCOMES.APPLIED)) == wanted.keys()
+    assert set(keys_with_outcome(report, OUTCOMES.APPLIED)) == wanted.keys()
     entries: dict[str, schema.Entry] = {}
     for stored in store.history:
         item = codec.decode_object(stored).unwrap()
         assert item.entry is not None
         entries[item.key] = item.entry
         assert schema.problems(entries) == ()
-    again = run(store, wanted)
-    assert set(keys_by(again, OUTCOMES.UNCHANGED)) == wanted.keys()
+    again = apply_change(store, wanted)
+    assert set(keys_with_outcome(again, OUTCOMES.UNCHANGED)) == wanted.keys()
     assert store.revision == len(wanted)
-    # Deletions go the other way round.
-    report = run(store, dict.fromkeys(wanted))
+    # Deletions are made in reverse order.
+    report = apply_change(store, dict.fromkeys(wanted))
     assert report.refusal is None
     for stored in list(store.history)[len(wanted) :]:
         entries.pop(codec.decode_object(stored).unwrap().key)
@@ -244,18 +260,22 @@
 
 
 def test_server_moves_between_services_in_one_file() -> None:
-    """Guard against an order by kind alone, which adds before it removes."""
+    """Guard against an order by kind alone.
+
+    It could add the server to one service before it removes it from the
+    other, so that the server would be in both.
+    """
     store = store_standin.StoreCore()
     entries = small_catalogue()
     fees = builders.make_service("fees", zones=["tartu-a"], per_zone=2)
-    for place, server in enumerate(fees["servers"]):
-        server["address"] = f"127.0.0.2:{9000 + place}"
-    run(store, {**entries, "backend-service/fees": fees})
+    for index, server in enumerate(fees["servers"]):
+        server["address"] = f"127.0.0.2:{9000 + index}"
+    apply_change(store, {**entries, "backend-service/fees": fees})
     filing = entries["backend-service/filing"]
     assert filing is not None
     assert filing["kind"] == "backend-service"
     moved = fees["servers"][0]
-    report = run(
+    report = apply_change(
         store,
         {
             "backend-service/filing": {
@@ -266,52 +286,60 @@
         },
     )
     assert report.refusal is None
-    assert keys_by(report, OUTCOMES.APPLIED) == [
+    assert keys_with_outcome(report, OUTCOMES.APPLIED) == [
         "backend-service/fees",
         "backend-service/filing",
     ]
 
 
-def test_deletion_of_something_referenced_is_refused() -> None:
-    """Guard against work that is left without its service."""
+def test_deletion_of_a_referenced_entry_is_refused() -> None:
+    """Guard against work whose backend service has been deleted."""
     store = store_standin.StoreCore()
-    run(store, small_catalogue())
+    apply_change(store, small_catalogue())
     before = store.revision
     for key in ("backend-service/filing", "region/tallinn"):
-        report = run(store, {key: None})
+        report = apply_change(store, {key: None})
         assert report.refusal is not None
         assert report.refusal.code is CODES.CATALOGUE_INVALID
-    report = run(store, {"work/none": None})
+    report = apply_change(store, {"work/none": None})
     assert report.refusal is not None
     assert report.refusal.code is CODES.OBJECT_NOT_FOUND
     assert store.revision == before
 
 
-def test_stop_in_between_says_what_took_effect() -> None:
-    """Guard against an operator who cannot tell how far a file got."""
+def test_interrupted_change_reports_what_took_effect() -> None:
+    """Guard against a report that does not show which entries are written."""
     store = store_standin.StoreCore()
     wanted = small_catalogue()
-    report = run(store, wanted, plan=["none", "none", "dead"])
+    report = apply_change(store, wanted, plan=["none", "none", "lose_store"])
     assert report.refusal is not None
     assert report.refusal.code is CODES.STORE_OUTCOME_UNKNOWN
-    assert len(keys_by(report, OUTCOMES.APPLIED)) == 2
-    assert len(keys_by(report, OUTCOMES.UNKNOWN)) == 1
-    assert len(keys_by(report, OUTCOMES.NOT_APPLIED)) == len(wanted) - 3
-    # The same file again completes the change.
-    assert run(store, wanted).refusal is None
+    assert len(keys_with_outcome(report, OUTCOMES.APPLIED)) == 2
+    assert len(keys_with_outcome(report, OUTCOMES.UNKNOWN)) == 1
+    assert (
+        len(keys_with_outcome(report, OUTCOMES.NOT_APPLIED)) == len(wanted) - 3
+    )
+    # Applying the same file again completes the change.
+    assert apply_change(store, wanted).refusal is None
     assert store.revision == len(wanted)
 
 
 def test_concurrent_deletion_is_reported() -> None:
-    """Guard against a reference that another operator has just broken."""
+    """Guard against a reference broken by another operator unnoticed.
+
+    Each write is conditional on its own entry only, so both succeed.
+    """
     store = store_standin.StoreCore()
     entries = small_catalogue()
-    run(store, {k: it for k, it in entries.items() if "work/" not in k})
+    apply_change(
+        store,
+        {key: entry for key, entry in entries.items() if "work/" not in key},
+    )
 
     async def body() -> list[catalogue_writer.ApplyReport]:
         timer = timer_helper.ManualTimerService()
         store.faults.delay_s = 0.07
-        return await drive(
+        return await run_tasks(
             timer,
             make_writer(store, timer, "a").apply({"work/w": make_work(1)}),
             make_writer(store, timer, "b").apply(
@@ -321,4 +349,6 @@
 
     reports = asyncio.run(body())
     assert all(report.refusal is None for report in reports)
-    assert any("no backend service" in str(it.warnings) for it in reports)
+    assert any(
+        "no backend service" in str(report.warnings) for report in reports
+    )
