--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -53,7 +53,7 @@
         metrics: registry.Metrics,
         lag: loop_lag.LoopLagMonitor,
         timer_service: timer.TimerService,
-        refusing: Callable[[], result_codes.Refusal | None],
+        host_refusal: Callable[[], result_codes.Refusal | None],
     ) -> None:
         self.host = host
         self.catalogue = catalogue
@@ -68,7 +68,7 @@
             timer_service=timer_service
         )
         # Returns why the whole entry host refuses new work now, if it does.
-        self.refusing = refusing
+        self.host_refusal = host_refusal
         self.buffered_bytes = 0
         # Exchanges from header block to written answer.
         self.in_flight = 0
@@ -82,7 +82,7 @@
         fields: Mapping[str, str],
     ) -> Result[Draft, result_codes.Refusal]:
         """Admit or refuse a request to run by its header block alone."""
-        busy = self._overload(rank) or self.refusing()
+        busy = self._overload(rank) or self.host_refusal()
         if busy is not None and not self._is_repeat(fields):
             return Failure(busy)
         parsed = parsing.parse_headers(fields)
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -236,7 +236,7 @@
             metrics=self.metrics,
             lag=self.lag,
             timer_service=self.timer,
-            refusing=self.refusing,
+            host_refusal=self.refusing,
         )
         self.status = status.StatusReport(entry_host=self)
         with self._binding("operator-port", self.settings.operator_port):
--- a/tests/components/gateway/test_service.py
+++ b/tests/components/gateway/test_service.py
@@ -31,7 +31,7 @@
     parts["executor"].is_unused.return_value = not repeat
     parts["timer_service"].monotonic.return_value = 5.0
     return service_module.CallerService(
-        **parts, lag=mock.MagicMock(lag_s=0.0), refusing=lambda: None
+        **parts, lag=mock.MagicMock(lag_s=0.0), host_refusal=lambda: None
     )
 
 
