--- a/src/samphirelug/components/gateway/exchange.py
+++ b/src/samphirelug/components/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Carry out one HTTP exchange with a caller."""
+"""Handle one HTTP request of a caller."""
 
 import asyncio
 import logging
@@ -17,14 +17,14 @@
 from samphirelug import result_codes
 
 LOGGER = logging.getLogger(__name__)
-# Statuses whose answers have no body and no Content-Length.
-BODILESS = frozenset({204, 304})
-# Colon, space and line end of a header field.
+# Statuses of responses without a body and Content-Length.
+BODYLESS_STATUSES = frozenset({204, 304})
+# The colon, space and CRLF of a header field.
 HEADER_FRAMING_BYTES = 4
 
 
 class CallerExchange(httputil.HTTPMessageDelegate):
-    """Decide on the header block, read the body, run and answer."""
+    """Check the headers, read the body, run the request and respond."""
 
     def __init__(
         self,
@@ -39,13 +39,14 @@
         self.started_at_s = 0.0
         self.request_id = "-"
         self.work = "-"
-        self.draft: service_module.Draft | None = None
+        # Set for requests to run that passed the check of their headers.
+        self.request: service_module.CheckedRequest | None = None
         self.run_token: str | None = None
-        self.pairs: list[tuple[str, str]] = []
+        self.header_fields: list[tuple[str, str]] = []
         self.chunks: list[bytes] = []
         self.received_bytes = 0
-        # From header block to answer. A keep-alive connection has an idle
-        # exchange that waits for the next header block.
+        # True from header block to response. An idle keep-alive connection
+        # also has an exchange, which waits for the next header block.
         self.in_flight = False
         self.answered = False
         self.task: asyncio.Task[None] | None = None
@@ -55,7 +56,7 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Refuse or prepare the request before its body is read."""
+        """Check the request by its headers, before its body is read."""
         assert isinstance(start_line, httputil.RequestStartLine)
         self.started_at_s = self.service.timer.monotonic()
         self.in_flight = True
@@ -86,7 +87,7 @@
             self.run_token = headers.get(const.HEADER_RUN_TOKEN) or ""
             return
         self.work = route.work
-        checked = self.service.check(
+        checked = self.service.check_headers(
             rank=self.rank,
             method=start_line.method,
             route=route,
@@ -95,27 +96,27 @@
         if isinstance(checked, Failure):
             self._refuse(checked.failure())
             return
-        self.draft = checked.unwrap()
-        self.request_id = self.draft.headers.request_id
-        self.pairs = list(headers.get_all())
+        self.request = checked.unwrap()
+        self.request_id = self.request.headers.request_id
+        self.header_fields = list(headers.get_all())
 
     def data_received(self, chunk: bytes) -> None:
         """Collect the body up to the work entry's limit."""
-        if self.answered or self.draft is None:
+        if self.answered or self.request is None:
             return
-        self._buffer(len(chunk))
-        if self.received_bytes > self.draft.max_body_bytes:
+        self._add_buffered(len(chunk))
+        if self.received_bytes > self.request.max_body_bytes:
             self._refuse(
                 result_codes.Refusal(
                     result_codes.ResultCode.BODY_TOO_LARGE,
-                    f"allowed is {self.draft.max_body_bytes} bytes",
+                    f"body exceeds {self.request.max_body_bytes} bytes",
                 )
             )
             return
         self.chunks.append(chunk)
 
     def finish(self) -> None:
-        """Run the request, which has arrived whole."""
+        """Run the request, now that it has been received completely."""
         if self.answered:
             return
         set_close_callback = getattr(
@@ -126,40 +127,43 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def on_connection_close(self) -> None:
-        """Give up the request of a caller that has gone away."""
-        self._end()
-        self._buffer(-self.received_bytes)
+        """Cancel the request of a caller that has disconnected."""
+        self._end_exchange()
+        self._add_buffered(-self.received_bytes)
         if self.task is not None and not self.task.done():
             self.task.cancel()
 
     async def _run(self) -> None:
         try:
-            result = await self._outcome()
+            result = await self._get_result()
         except asyncio.CancelledError:
-            self._count(result_codes.ResultCode.CALLER_GONE)
+            self._record_metrics(result_codes.ResultCode.CALLER_GONE)
             raise
         except Exception:
-            LOGGER.exception("request %s failed", self.request_id)
+            LOGGER.exception("unexpected error in request %s", self.request_id)
             result = Failure(
                 result_codes.Refusal(
                     result_codes.ResultCode.INTERNAL_ERROR,
-                    "the entry host failed; see its log",
+                    "internal error; see the log of the entry host",
                 )
             )
         finally:
-            self._buffer(-self.received_bytes)
+            self._add_buffered(-self.received_bytes)
         if isinstance(result, Success):
             self._answer(result.unwrap())
         else:
             self._refuse(result.failure())
 
-    async def _outcome(self) -> Result[core.Answer, result_codes.Refusal]:
-        if self.draft is None:
+    async def _get_result(self) -> Result[core.Answer, result_codes.Refusal]:
+        if self.request is None:
             return await self.service.executor.outcome(self.run_token or "")
         body = b"".join(self.chunks)
         self.chunks.clear()
         return await self.service.run(
-            draft=self.draft, rank=self.rank, pairs=self.pairs, body=body
+            request=self.request,
+            rank=self.rank,
+            header_fields=self.header_fields,
+            body=body,
         )
 
     def _answer_lookup(self, route: model.LookupRoute) -> None:
@@ -178,7 +182,7 @@
         self._write(200, "OK", headers, body)
 
     def _answer(self, answer: core.Answer) -> None:
-        self._count(result_codes.ResultCode.OK)
+        self._record_metrics(result_codes.ResultCode.OK)
         headers = httputil.HTTPHeaders()
         for name, value in answer.headers:
             headers.add(name, value)
@@ -188,7 +192,7 @@
     def _refuse(self, refusal: result_codes.Refusal) -> None:
         if self.answered:
             return
-        self._count(refusal.code)
+        self._record_metrics(refusal.code)
         self.service.metrics.count_refusal(refusal.code, self.rank)
         self.service.refusal_log.write(
             refusal,
@@ -210,25 +214,25 @@
     ) -> None:
         if self.answered:
             return
-        self._end()
-        if status not in BODILESS:
+        self._end_exchange()
+        if status not in BODYLESS_STATUSES:
             headers["Content-Length"] = str(len(body))
         line = httputil.ResponseStartLine("HTTP/1.1", status, reason)
         self.connection.write_headers(line, headers, body)
         self.connection.finish()
 
-    def _end(self) -> None:
+    def _end_exchange(self) -> None:
         self.answered = True
         if self.in_flight:
             self.in_flight = False
             self.service.in_flight -= 1
 
-    def _buffer(self, size: int) -> None:
+    def _add_buffered(self, size: int) -> None:
         self.received_bytes += size
         self.service.buffered_bytes += size
 
-    def _count(self, code: result_codes.ResultCode) -> None:
-        if self.draft is None:
+    def _record_metrics(self, code: result_codes.ResultCode) -> None:
+        if self.request is None:
             return
         self.service.metrics.observe_request(
             work=self.work,
--- a/src/samphirelug/components/gateway/io_operator.py
+++ b/src/samphirelug/components/gateway/io_operator.py
@@ -1,4 +1,4 @@
-"""Serve operators: status, catalogue status, metrics and probes."""
+"""Serve status, catalogue status, metrics and probes to operators."""
 
 from collections.abc import Callable
 import logging
@@ -17,14 +17,16 @@
 class JsonHandler(web.RequestHandler):
     """Answer with the JSON object that a function returns."""
 
-    def initialize(self, *, produce: Callable[[], dict[str, Any]]) -> None:
-        """Keep the function that produces the answer."""
-        self.produce = produce
+    def initialize(
+        self, *, build_document: Callable[[], dict[str, Any]]
+    ) -> None:
+        """Set the function that returns the object."""
+        self.build_document = build_document
 
     def get(self) -> None:
-        """Write the object."""
+        """Write the object as JSON."""
         self.set_header("Content-Type", "application/json")
-        self.write(orjson.dumps(self.produce()))
+        self.write(orjson.dumps(self.build_document()))
 
 
 class MetricsHandler(web.RequestHandler):
@@ -33,7 +35,7 @@
     def initialize(
         self, *, metrics: registry.Metrics, update: Callable[[], None]
     ) -> None:
-        """Keep the registry and the function that sets its gauges."""
+        """Set the registry and the function that updates its gauges."""
         self.metrics = metrics
         self.update = update
 
@@ -45,27 +47,27 @@
 
 
 class ProbeHandler(web.RequestHandler):
-    """Answer 200 while nothing is wrong, else 503 with the problem."""
+    """Answer 200 if there is no problem, else 503 with the problem."""
 
     def initialize(
         self, *, probe: Callable[[], dict[str, Any]], readiness: bool
     ) -> None:
-        """Keep the function that judges the entry host."""
+        """Set the function that returns the state of the entry host."""
         self.probe = probe
         self.readiness = readiness
 
     def get(self) -> None:
-        """Write the state; a process that answers at all is healthy."""
-        found = self.probe()
+        """Write the state; any process that answers passes /healthz."""
+        report = self.probe()
         if not self.readiness:
-            found = {**found, "problem": None}
-        ok = found["problem"] is None
+            report = {**report, "problem": None}
+        ok = report["problem"] is None
         self.set_status(200 if ok else 503)
-        self.write({"ok": ok, **found})
+        self.write({"ok": ok, **report})
 
 
 class OperatorServer:
-    """Listen for operators on a port of its own."""
+    """Serve operators on a separate port."""
 
     def __init__(
         self,
@@ -80,11 +82,11 @@
     ) -> None:
         application = web.Application(
             [
-                (r"/v1/status", JsonHandler, {"produce": status}),
+                (r"/v1/status", JsonHandler, {"build_document": status}),
                 (
                     r"/v1/catalogue/status",
                     JsonHandler,
-                    {"produce": catalogue_status},
+                    {"build_document": catalogue_status},
                 ),
                 (
                     r"/metrics",
--- a/src/samphirelug/components/gateway/io_server.py
+++ b/src/samphirelug/components/gateway/io_server.py
@@ -1,4 +1,4 @@
-"""Listen for callers, with a listener for each rank."""
+"""Accept callers' connections, with a listener for each rank."""
 
 import asyncio
 import logging
@@ -19,12 +19,12 @@
 from samphirelug import result_codes
 
 LOGGER = logging.getLogger(__name__)
-# What tornado writes for a request that it cannot parse.
-BARE_BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\n\r\n"
+# Response that tornado writes to a request that it cannot parse.
+TORNADO_BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\n\r\n"
 
 
 class RankDelegate(httputil.HTTPServerConnectionDelegate):
-    """Start an exchange for each request on a rank's listener."""
+    """Create an exchange for each request on a rank's listener."""
 
     def __init__(
         self, *, service: service_module.CallerService, rank: core.Rank
@@ -44,12 +44,12 @@
 
 
 class CallerStream(iostream.IOStream):
-    """Give the HTTP server's bare answer to a malformed request a code."""
+    """Replace tornado's response to malformed requests by a refusal."""
 
     def write(self, data: bytes | memoryview) -> asyncio.Future[None]:
-        """Write data, with a refusal in place of the bare answer."""
-        if data == BARE_BAD_REQUEST:
-            data = _render_closing(
+        """Write data; replace TORNADO_BAD_REQUEST by a refusal."""
+        if data == TORNADO_BAD_REQUEST:
+            data = _render_final_refusal(
                 result_codes.Refusal(
                     result_codes.ResultCode.MALFORMED_REQUEST,
                     "the request is not valid HTTP/1.1",
@@ -59,7 +59,7 @@
 
 
 class CountingServer(httpserver.HTTPServer):
-    """Count open connections; HTTPServer tells its delegate of no close."""
+    """Count open connections; HTTPServer reports no close to its delegate."""
 
     open_connections = 0
 
@@ -71,13 +71,13 @@
         super().handle_stream(stream, address)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a closed connection."""
+        """Stop counting a closed connection."""
         self.open_connections -= 1
         super().on_close(server_conn)
 
 
 class RankListener:
-    """Accept callers' connections for one rank at the rank's pace."""
+    """Accept callers' connections for one rank, in limited batches."""
 
     def __init__(self, *, rank: core.Rank, address: str, port: int) -> None:
         self.rank = rank
@@ -94,22 +94,22 @@
             self.delegate,
             idle_connection_timeout=gateway_const.IDLE_TIMEOUT_S,
             body_timeout=gateway_const.BODY_TIMEOUT_S,
-            # Larger than allowed, so that an exchange can answer with a code.
+            # Above MAX_HEADER_BYTES, so that the exchange refuses with a code.
             max_header_size=4 * const.MAX_HEADER_BYTES,
             max_body_size=const.MAX_BODY_BYTES,
         )
         loop = asyncio.get_running_loop()
-        for listening in self.sockets:
-            loop.add_reader(listening, self._accept, listening)
+        for listener_socket in self.sockets:
+            loop.add_reader(listener_socket, self._accept, listener_socket)
 
     def stop_accepting(self) -> None:
-        """Close the listening sockets; open connections go on."""
+        """Close the listening sockets; open connections stay open."""
         loop = asyncio.get_running_loop()
-        for listening in self.sockets:
-            # Connections that wait to be accepted would be reset.
-            self._accept(listening, batch=gateway_const.LISTEN_BACKLOG)
-            loop.remove_reader(listening)
-            listening.close()
+        for listener_socket in self.sockets:
+            # Accept the backlog: closing the socket would reset it.
+            self._accept(listener_socket, batch=gateway_const.LISTEN_BACKLOG)
+            loop.remove_reader(listener_socket)
+            listener_socket.close()
         self.sockets = []
 
     async def close(self) -> None:
@@ -117,17 +117,17 @@
         await self.server.close_all_connections()
 
     def _accept(
-        self, listening: socket.socket, *, batch: int | None = None
+        self, listener_socket: socket.socket, *, batch: int | None = None
     ) -> None:
         for _ in range(batch or gateway_const.ACCEPT_BATCH[self.rank]):
             try:
-                connection, address = listening.accept()
+                connection, address = listener_socket.accept()
             except OSError:
-                # Nothing is left to accept, or the caller went away.
+                # The backlog is empty, or the caller has disconnected.
                 return
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            if self._is_full():
+            if self._is_at_limit():
                 self._refuse(connection)
                 continue
             stream = CallerStream(
@@ -135,7 +135,7 @@
             )
             self.server.handle_stream(stream, address)
 
-    def _is_full(self) -> bool:
+    def _is_at_limit(self) -> bool:
         limit = gateway_const.MAX_CONNECTIONS[self.rank]
         return self.server.open_connections >= limit
 
@@ -151,20 +151,20 @@
             refusal, rank=self.rank, work="-", request_id="-"
         )
         try:
-            connection.send(_render_closing(refusal))
-            # Closing at once with unread input would reset the connection
-            # and could destroy the refusal before the caller reads it.
+            connection.send(_render_final_refusal(refusal))
+            # Closing now, with unread data, would reset the connection, and
+            # the caller could lose the refusal before reading it.
             connection.shutdown(socket.SHUT_WR)
         except OSError:
-            LOGGER.debug("caller left before it was refused")
+            LOGGER.debug("caller disconnected before it was refused")
         self.service.timer.call_at(
             when_s=self.service.timer.monotonic() + 1.0,
             callback=connection.close,
         )
 
 
-def _render_closing(refusal: result_codes.Refusal) -> bytes:
-    """Return a whole answer after which the connection closes."""
+def _render_final_refusal(refusal: result_codes.Refusal) -> bytes:
+    """Return a refusal that announces the close of the connection."""
     line, headers, body = rendering.render_refusal(refusal, "-")
     headers["Connection"] = "close"
     fields = "".join(f"{n}: {v}\r\n" for n, v in headers.get_all())
--- a/src/samphirelug/components/gateway/model.py
+++ b/src/samphirelug/components/gateway/model.py
@@ -1,4 +1,4 @@
-"""Define what the gateway reads from a request's header block."""
+"""Define what is parsed from the header block of a request."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
     """Ask for entry hosts for a work entry near a place."""
 
     work: str
-    # Availability zone or region; empty where the caller names none.
+    # Availability zone or region; empty if the caller names none.
     place: str
 
 
@@ -30,7 +30,7 @@
     """Hold the checked header fields of a request to run."""
 
     request_id: str
-    # Seconds that the caller gives; None where it names no deadline.
+    # Seconds that the caller waits; None if it sets no deadline.
     deadline_s: float | None
     home_region: str | None
     run_token: str | None
--- a/src/samphirelug/components/gateway/parsing.py
+++ b/src/samphirelug/components/gateway/parsing.py
@@ -1,4 +1,4 @@
-"""Read routes and header fields of callers' requests."""
+"""Parse routes and header fields of callers' requests."""
 
 from collections.abc import Mapping
 import re
@@ -18,7 +18,7 @@
 RUN_PREFIX = "/v1/run/"
 OUTCOME_PATH = "/v1/outcome"
 REQUEST_ID_PATTERN = re.compile(r"[!-~]{1,128}")
-# Fields that the entry host sets itself.
+# Header fields that are for the entry host or that it sets itself.
 NOT_FORWARDED = frozenset(
     {
         "content-length",
@@ -35,14 +35,14 @@
 def refuse(
     code: result_codes.ResultCode, detail: str
 ) -> Failure[result_codes.Refusal]:
-    """Return a refusal that coming back later does not help."""
+    """Return a refusal without a retry time, as a retry would fail."""
     return Failure(result_codes.Refusal(code, detail))
 
 
 def parse_route(
     method: str, target: str
 ) -> Result[model.Route, result_codes.Refusal]:
-    """Return the route of a request target; UNKNOWN_PATH where none fits."""
+    """Return the route of a request target; fails with UNKNOWN_PATH."""
     path, _, query = target.partition("?")
     if path.startswith(RUN_PREFIX):
         work, _, rest = path[len(RUN_PREFIX) :].partition("/")
@@ -67,7 +67,7 @@
 def parse_headers(
     headers: Mapping[str, str],
 ) -> Result[model.RunHeaders, result_codes.Refusal]:
-    """Check the header fields that the entry host itself reads."""
+    """Parse and check the header fields for the entry host."""
     request_id = headers.get(const.HEADER_REQUEST_ID) or uuid.uuid4().hex
     if not REQUEST_ID_PATTERN.fullmatch(request_id):
         return refuse(
@@ -92,10 +92,10 @@
 
 
 def forwarded_headers(
-    pairs: list[tuple[str, str]],
+    header_fields: list[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Return the header fields that go on to the backend server."""
-    return http_fields.forwarded(pairs, dropped=NOT_FORWARDED)
+    """Return the header fields to forward to the backend server."""
+    return http_fields.forwarded(header_fields, dropped=NOT_FORWARDED)
 
 
 def _parse_deadline(
--- a/src/samphirelug/components/gateway/rendering.py
+++ b/src/samphirelug/components/gateway/rendering.py
@@ -1,4 +1,4 @@
-"""Write refusals in the one JSON form that callers get."""
+"""Render refusals and look-up answers as JSON."""
 
 import math
 
@@ -14,7 +14,7 @@
 def render_refusal(
     refusal: result_codes.Refusal, request_id: str
 ) -> tuple[httputil.ResponseStartLine, httputil.HTTPHeaders, bytes]:
-    """Return start line, header fields and body of a refusal."""
+    """Return the start line, header fields and body of a refusal."""
     code = refusal.code
     body = orjson.dumps(
         {
--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -1,4 +1,4 @@
-"""Decide on callers' requests, without sockets."""
+"""Check, look up and run callers' requests, independent of sockets."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 from samphirelug import result_codes
 
 
-class Draft(NamedTuple):
+class CheckedRequest(NamedTuple):
     """Hold a request that passed the checks of its header block."""
 
     route: model.RunRoute
@@ -67,35 +67,36 @@
         self.refusal_log = logging_helper.RefusalLog(
             timer_service=timer_service
         )
-        # Returns why the whole entry host refuses new work now, if it does.
+        # Returns a refusal while the entry host accepts no new work.
         self.host_refusal = host_refusal
         self.buffered_bytes = 0
-        # Exchanges from header block to written answer.
+        # Exchanges between the header block and the response.
         self.in_flight = 0
 
-    def check(
+    def check_headers(
         self,
         *,
         rank: core.Rank,
         method: str,
         route: model.RunRoute,
         fields: Mapping[str, str],
-    ) -> Result[Draft, result_codes.Refusal]:
-        """Admit or refuse a request to run by its header block alone."""
-        busy = self._overload(rank) or self.host_refusal()
-        if busy is not None and not self._is_repeat(fields):
-            return Failure(busy)
+    ) -> Result[CheckedRequest, result_codes.Refusal]:
+        """Check a request to run by its header block alone."""
+        early_refusal = self._overload_refusal(rank) or self.host_refusal()
+        if early_refusal is not None and not self._may_have_run(fields):
+            return Failure(early_refusal)
         parsed = parsing.parse_headers(fields)
         if isinstance(parsed, Failure):
             return parsed
         headers = parsed.unwrap()
         work = self.catalogue.view.works.get(route.work)
         refusal = self._work_refusal(rank, route, headers, work)
-        if refusal is not None and not self._is_repeat(fields):
+        if refusal is not None and not self._may_have_run(fields):
             return Failure(refusal)
         if self.buffered_bytes > gateway_const.MAX_BUFFERED_BYTES:
             return Failure(self._memory_refusal(fields))
-        # A repeat is answered by its token, whatever the catalogue says now.
+        # A request with a used token is answered by the token's outcome, even
+        # if the work entry has been changed or deleted since.
         max_body_bytes = const.MAX_BODY_BYTES
         if work is not None and refusal is None:
             max_body_bytes = work["max_body_bytes"]
@@ -109,10 +110,10 @@
             deadline_at_s=deadline_at_s,
             body_bytes=headers.content_length or 0,
         )
-        if refusal is not None and not self._is_repeat(fields):
+        if refusal is not None and not self._may_have_run(fields):
             return Failure(refusal)
         return Success(
-            Draft(
+            CheckedRequest(
                 route=route,
                 headers=headers,
                 method=method,
@@ -125,35 +126,35 @@
     async def run(
         self,
         *,
-        draft: Draft,
+        request: CheckedRequest,
         rank: core.Rank,
-        pairs: list[tuple[str, str]],
+        header_fields: list[tuple[str, str]],
         body: bytes,
     ) -> Result[core.Answer, result_codes.Refusal]:
-        """Run a checked request whose body has arrived."""
+        """Run a checked request with its complete body."""
         return await self.executor.run(
             core.CallerRequest(
-                request_id=draft.headers.request_id,
-                work=draft.route.work,
+                request_id=request.headers.request_id,
+                work=request.route.work,
                 rank=rank,
-                method=draft.method,
-                path=draft.route.path,
-                query=draft.route.query,
+                method=request.method,
+                path=request.route.path,
+                query=request.route.query,
                 headers=(
-                    *parsing.forwarded_headers(pairs),
-                    (const.HEADER_HOME_REGION, draft.home_region),
+                    *parsing.forwarded_headers(header_fields),
+                    (const.HEADER_HOME_REGION, request.home_region),
                 ),
                 body=body,
-                deadline_at_s=draft.deadline_at_s,
-                home_region=draft.home_region,
-                run_token=draft.headers.run_token,
+                deadline_at_s=request.deadline_at_s,
+                home_region=request.home_region,
+                run_token=request.headers.run_token,
             )
         )
 
     def look_up(
         self, route: model.LookupRoute
     ) -> Result[steering_model.LookupAnswer, result_codes.Refusal]:
-        """Name the entry hosts for a work entry near a place."""
+        """Return the entry hosts for a work entry near a place."""
         if not self.catalogue.position:
             return Failure(
                 result_codes.Refusal(
@@ -172,7 +173,7 @@
         headers: model.RunHeaders,
         work: catalogue_model.WorkEntry | None,
     ) -> result_codes.Refusal | None:
-        """Return why the work entry does not allow the request, if so."""
+        """Return a refusal if the work entry does not allow the request."""
         if work is None:
             return result_codes.Refusal(
                 result_codes.ResultCode.UNKNOWN_WORK,
@@ -201,17 +202,19 @@
     def _memory_refusal(
         self, fields: Mapping[str, str]
     ) -> result_codes.Refusal:
-        """Refuse a body; a repeat may have been run, so its code differs."""
+        """Return a refusal whose code tells whether the work may have run."""
         code = result_codes.ResultCode.OVERLOADED
-        if self._is_repeat(fields):
+        if self._may_have_run(fields):
             code = result_codes.ResultCode.ENTRY_HOST_LOST
         return result_codes.Refusal(
             code,
-            "request bodies fill the memory set aside for them",
+            "the memory for request bodies is full",
             gateway_const.DEFAULT_RETRY_AFTER_S,
         )
 
-    def _overload(self, rank: core.Rank) -> result_codes.Refusal | None:
+    def _overload_refusal(
+        self, rank: core.Rank
+    ) -> result_codes.Refusal | None:
         limit_s = gateway_const.LOOP_LAG_LIMIT_S[rank]
         if self.lag.lag_s <= limit_s:
             return None
@@ -221,10 +224,10 @@
             gateway_const.DEFAULT_RETRY_AFTER_S,
         )
 
-    def _is_repeat(self, fields: Mapping[str, str]) -> bool:
-        """Return whether the request's run token may have been used.
+    def _may_have_run(self, fields: Mapping[str, str]) -> bool:
+        """Return whether the work of the request's run token may have run.
 
-        A refusal would say "not run", which may then be untrue.
+        A refusal that reports "not run" could then be untrue.
         """
         token = fields.get(const.HEADER_RUN_TOKEN)
         return token is not None and not self.executor.is_unused(token)
@@ -233,7 +236,7 @@
         if headers.run_token is not None:
             token = self.issuer.decode(headers.run_token)
             if isinstance(token, Success):
-                home: str = token.unwrap().home_region
-                return home
-        named = headers.home_region or ""
-        return self.catalogue.view.region_of(named) or self.host.zone.region
+                region: str = token.unwrap().home_region
+                return region
+        place = headers.home_region or ""
+        return self.catalogue.view.region_of(place) or self.host.zone.region
--- a/tests/components/gateway/test_io_server.py
+++ b/tests/components/gateway/test_io_server.py
@@ -15,8 +15,8 @@
 from samphirelug import result_codes
 
 
-class RefusingService:
-    """Refuse every request, and count what the listener counts."""
+class FakeService:
+    """Provide the attributes that refusing a request uses."""
 
     def __init__(self) -> None:
         self.metrics = registry.Metrics()
@@ -31,13 +31,13 @@
     listener = io_server.RankListener(
         rank=core.Rank.EXPORT, address="127.0.0.1", port=0
     )
-    service: Any = RefusingService()
+    service: Any = FakeService()
     listener.start(service)
     return listener
 
 
 async def fetch(port: int) -> httpclient.HTTPResponse:
-    """Send a request that no route fits."""
+    """Send a request with an unknown path."""
     client = httpclient.AsyncHTTPClient(force_instance=True)
     try:
         return await client.fetch(
@@ -48,13 +48,13 @@
 
 
 def test_closed_connections_are_not_counted() -> None:
-    """Guards against a listener that is full of connections long closed."""
+    """Guard against a listener that counts closed connections as open."""
 
     async def run() -> None:
         listener = make_listener()
         for _ in range(5):
             await fetch(listener.port)
-        # The server sees the last close one loop step later.
+        # The server handles the last close in a later loop iteration.
         for _ in range(200):
             if not listener.server.open_connections:
                 break
@@ -68,7 +68,7 @@
 
 
 def test_full_listener_refuses_with_a_code(monkeypatch: Any) -> None:
-    """Guards against callers that are cut off without a reason."""
+    """Guard against closing a connection without a result code."""
     monkeypatch.setitem(gateway_const.MAX_CONNECTIONS, core.Rank.EXPORT, 0)
 
     async def run() -> None:
@@ -86,8 +86,8 @@
     asyncio.run(run())
 
 
-def test_requests_that_cannot_be_read_get_a_code() -> None:
-    """Guards against callers that are cut off without a reason."""
+def test_rejected_header_blocks_get_a_code() -> None:
+    """Guard against closing a connection without a result code."""
 
     async def run(request: bytes) -> int:
         listener = make_listener()
--- a/tests/components/gateway/test_parsing.py
+++ b/tests/components/gateway/test_parsing.py
@@ -1,4 +1,4 @@
-"""Test how requests' targets and header fields are read."""
+"""Test how targets and header fields of requests are parsed."""
 
 from returns.result import Failure
 from returns.result import Success
@@ -12,7 +12,7 @@
 
 
 def test_run_route_keeps_path_and_query() -> None:
-    """Guards against a request that reaches another resource."""
+    """Guard against forwarding a changed path or query."""
     route = parsing.parse_route("POST", "/v1/run/pay-fee/a/b%2Fc?x=1&y=%20")
     assert route == Success(model.RunRoute("pay-fee", "/a/b%2Fc", "x=1&y=%20"))
     route = parsing.parse_route("GET", "/v1/run/pay-fee")
@@ -20,7 +20,7 @@
 
 
 def test_unknown_targets_are_refused() -> None:
-    """Guards against a path that is served without being meant."""
+    """Guard against serving an undefined path or method."""
     for method, target in (
         ("GET", "/"),
         ("GET", "/v2/run/x"),
@@ -32,8 +32,8 @@
         assert result.failure().code is Code.UNKNOWN_PATH
 
 
-def test_bad_header_fields_are_named() -> None:
-    """Guards against a malformed field that is taken as a default."""
+def test_malformed_header_fields_are_named_in_the_refusal() -> None:
+    """Guard against replacing a malformed value by a default."""
     for name, value, code in (
         (const.HEADER_DEADLINE_MS, "0", Code.DEADLINE_INVALID),
         (const.HEADER_DEADLINE_MS, "-5", Code.DEADLINE_INVALID),
@@ -49,14 +49,17 @@
 
 
 def test_deadline_is_bounded() -> None:
-    """Guards against units that are held longer than others wait for."""
+    """Guard against requests that use units past their reservation.
+
+    The quota units of a lost host stay reserved for MAX_REQUEST_S only.
+    """
     result = parsing.parse_headers({const.HEADER_DEADLINE_MS: "999999"})
     assert result.unwrap().deadline_s == const.MAX_REQUEST_S
 
 
 def test_connection_fields_are_not_forwarded() -> None:
-    """Guards against hop-by-hop fields that leak to the next hop."""
-    pairs = [
+    """Guard against forwarding hop-by-hop header fields."""
+    header_fields = [
         ("Connection", "close, X-Private"),
         ("X-Private", "1"),
         ("Transfer-Encoding", "chunked"),
@@ -64,7 +67,7 @@
         ("X-Kept", "a"),
         ("X-Kept", "b"),
     ]
-    assert parsing.forwarded_headers(pairs) == (
+    assert parsing.forwarded_headers(header_fields) == (
         ("X-Kept", "a"),
         ("X-Kept", "b"),
     )
--- a/tests/components/gateway/test_service.py
+++ b/tests/components/gateway/test_service.py
@@ -1,4 +1,4 @@
-"""Test what the header block of a repeated request is refused for."""
+"""Test refusals by header block of requests with a used token."""
 
 from unittest import mock
 
@@ -17,8 +17,8 @@
 ROUTE = model.RunRoute("file-claim", "/x", "")
 
 
-def make_service(*, repeat: bool) -> service_module.CallerService:
-    """Return a service whose host has the small catalogue."""
+def make_service(*, token_used: bool) -> service_module.CallerService:
+    """Return a service with the small catalogue."""
     parts = {
         name: mock.MagicMock()
         for name in (
@@ -28,41 +28,44 @@
     }
     parts["catalogue"].view = builders.make_view()
     parts["admission"].refusal_for.return_value = None
-    parts["executor"].is_unused.return_value = not repeat
+    parts["executor"].is_unused.return_value = not token_used
     parts["timer_service"].monotonic.return_value = 5.0
     return service_module.CallerService(
         **parts, lag=mock.MagicMock(lag_s=0.0), host_refusal=lambda: None
     )
 
 
-@pytest.mark.parametrize("repeat", [False, True])
-@pytest.mark.parametrize("change", ["deleted", "rank", "body", "memory"])
-def test_repeat_is_never_refused_as_not_run(change: str, repeat: bool) -> None:
-    """Guards against "not run" for work whose token was used before.
+@pytest.mark.parametrize("token_used", [False, True])
+@pytest.mark.parametrize("cause", ["deleted", "rank", "body", "memory"])
+def test_request_with_used_token_is_never_refused_as_not_run(
+    cause: str, token_used: bool
+) -> None:
+    """Guard against "not run" for work that may have run already.
 
-    The host that is asked may have no catalogue yet or a changed one.
+    The host that gets the repeated request may have no catalogue yet or a
+    newer one.
     """
-    service = make_service(repeat=repeat)
+    service = make_service(token_used=token_used)
     rank = core.Rank.URGENT
     length = "100"
-    if change == "deleted":
+    if cause == "deleted":
         service.catalogue.view.works.pop("file-claim")
-    elif change == "rank":
+    elif cause == "rank":
         rank = core.Rank.EXPORT
-    elif change == "body":
+    elif cause == "body":
         length = str(const.MAX_BODY_BYTES)
     else:
         service.buffered_bytes = gateway_const.MAX_BUFFERED_BYTES + 1
-    checked = service.check(
+    checked = service.check_headers(
         rank=rank,
         method="POST",
         route=ROUTE,
         fields={const.HEADER_RUN_TOKEN: "t", "Content-Length": length},
     )
-    if not repeat:
+    if not token_used:
         assert isinstance(checked, Failure)
         assert checked.failure().code.effect is Effect.NOT_RUN
-    elif change == "memory":
+    elif cause == "memory":
         assert isinstance(checked, Failure)
         assert checked.failure().code.effect is Effect.OUTCOME_UNKNOWN
     else:
