--- a/src/samphirelug/components/backend/ports.py
+++ b/src/samphirelug/components/backend/ports.py
@@ -21,10 +21,10 @@
 class Health(Protocol):
     """Take observations of attempts, by server name."""
 
-    def started(self, server: str) -> None:
+    def attempt_started(self, server: str) -> None:
         """Note that an attempt has started."""
 
-    def ended(
+    def attempt_ended(
         self,
         server: str,
         *,
@@ -37,11 +37,11 @@
 class ProbedHealth(Protocol):
     """Take observations of health probes, by server name."""
 
-    def needs_probe(self) -> tuple[str, ...]:
+    def servers_due_for_probe(self) -> tuple[str, ...]:
         """Return the servers that a good probe would bring back."""
 
-    def probe_failed(self, server: str, *, refused: bool) -> None:
-        """Note a failed probe; refused means that it was not sent."""
+    def probe_failed(self, server: str, *, not_sent: bool) -> None:
+        """Record a failed probe; not_sent if no byte was sent."""
 
     def apply_report(self, report: model.HealthReport) -> None:
         """Take a server's own report."""
--- a/src/samphirelug/components/backend/prober.py
+++ b/src/samphirelug/components/backend/prober.py
@@ -74,7 +74,7 @@
 
     def schedule_needed(self) -> None:
         """Probe soon what a good probe would bring back into use."""
-        needed = frozenset(self.health.needs_probe())
+        needed = frozenset(self.health.servers_due_for_probe())
         if not needed:
             return
         for server in self.servers():
@@ -118,7 +118,7 @@
                 # A server that refuses is at work, though busy.
                 self.health.probe_failed(
                     server.name,
-                    refused=failure.kind is model.FailureKind.NOT_SENT,
+                    not_sent=failure.kind is model.FailureKind.NOT_SENT,
                 )
         finally:
             self.running.pop(server.name, None)
--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -394,7 +394,7 @@
         )
         started_s = self.timer.monotonic()
         run.dispatched = True
-        self.health.started(name)
+        self.health.attempt_started(name)
         server_done = False
         answer_bytes = 0
         # Reported to the health tracking if the client raises.
@@ -425,7 +425,9 @@
                 traffic=traffic,
             )
             latency_s = self.timer.monotonic() - started_s
-            self.health.ended(name, latency_s=latency_s, failure=failure)
+            self.health.attempt_ended(
+                name, latency_s=latency_s, failure=failure
+            )
 
     def _finish(
         self,
--- a/src/samphirelug/components/steering/health.py
+++ b/src/samphirelug/components/steering/health.py
@@ -82,11 +82,11 @@
             state = self.states[server] = ServerState()
         return state
 
-    def started(self, server: str) -> None:
+    def attempt_started(self, server: str) -> None:
         """Record that a request is being sent to the server."""
         self.state(server).outstanding += 1
 
-    def ended(
+    def attempt_ended(
         self,
         server: str,
         *,
@@ -113,10 +113,10 @@
         if state.failures >= const.FAILURES_BEFORE_PROBE:
             self._mark_failed(state)
 
-    def probe_failed(self, server: str, *, refused: bool) -> None:
-        """Record a failed health probe; refused if nothing listened."""
+    def probe_failed(self, server: str, *, not_sent: bool) -> None:
+        """Record a failed probe; not_sent if no byte was sent."""
         state = self.state(server)
-        if refused:
+        if not_sent:
             state.down_since_leaving = state.leaving
         state.failures += 1
         if state.failures >= const.FAILURES_BEFORE_PROBE:
@@ -218,7 +218,7 @@
         state = self.states.get(server)
         return state is None or not (state.leaving or state.failed)
 
-    def needs_probe(self) -> tuple[str, ...]:
+    def servers_due_for_probe(self) -> tuple[str, ...]:
         """Return the failed servers that are due for a probe."""
         now = self.timer.monotonic()
         return tuple(
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -237,7 +237,7 @@
             if server.zone.region != region:
                 continue
             for _ in range(3):
-                self.health.ended(
+                self.health.attempt_ended(
                     server.name,
                     latency_s=0.0,
                     failure=backend_model.FailureKind.NOT_SENT,
--- a/tests/components/backend/test_prober.py
+++ b/tests/components/backend/test_prober.py
@@ -35,13 +35,13 @@
         self.needed: tuple[str, ...] = ()
         self.leaving: list[str] = []
 
-    def needs_probe(self) -> tuple[str, ...]:
+    def servers_due_for_probe(self) -> tuple[str, ...]:
         """Return what the test needs."""
         return self.needed
 
-    def probe_failed(self, server: str, *, refused: bool) -> None:
+    def probe_failed(self, server: str, *, not_sent: bool) -> None:
         """Keep a failure."""
-        self.failures.append((server, refused))
+        self.failures.append((server, not_sent))
 
     def apply_report(self, report: model.HealthReport) -> None:
         """Keep a report."""
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -180,12 +180,12 @@
         self.outstanding = 0
         self.failures: list[FailureKind | None] = []
 
-    def started(self, server: str) -> None:
+    def attempt_started(self, server: str) -> None:
         """Count an attempt."""
         assert server in SERVERS
         self.outstanding += 1
 
-    def ended(
+    def attempt_ended(
         self,
         server: str,
         *,
--- a/tests/components/steering/test_health.py
+++ b/tests/components/steering/test_health.py
@@ -33,7 +33,7 @@
             elif signal == 1:
                 health.apply_report(make_report("a", leaving=True))
             elif signal == 2:
-                health.ended("s", latency_s=0.1, failure=Kind.LEAVING)
+                health.attempt_ended("s", latency_s=0.1, failure=Kind.LEAVING)
             else:
                 health.apply_sighting(peers_model.Sighting("s", "a", True, 0))
         assert health.is_leaving("s")
@@ -45,7 +45,7 @@
     """Guards against an old report or list that clears a leaving signal."""
     _, health = make_health()
     health.apply_report(make_report("a"))
-    health.ended("s", latency_s=0.1, failure=Kind.LEAVING)
+    health.attempt_ended("s", latency_s=0.1, failure=Kind.LEAVING)
     health.apply_report(make_report("a"))
     health.apply_host_list(revision=9, live=("s",), leaving=())
     assert health.is_leaving("s")
@@ -85,17 +85,17 @@
     """Guards against traffic to a server that refuses connections."""
     timer, health = make_health()
     for _ in range(3):
-        health.ended("s", latency_s=0.0, failure=Kind.NOT_SENT)
+        health.attempt_ended("s", latency_s=0.0, failure=Kind.NOT_SENT)
     health.apply_report(make_report("a"))
     assert not health.is_usable("s")
     timer.advance(0.6)
-    assert health.needs_probe() == ("s",)
+    assert health.servers_due_for_probe() == ("s",)
     health.apply_report(make_report("a"))
     assert health.is_usable("s")
     timer.advance(5.0)
     assert health.ramp_fraction("s", ramp_s=10.0) == 0.5
     # One more failure takes it out of use again, with a longer backoff.
-    health.ended("s", latency_s=0.0, failure=Kind.RESET)
+    health.attempt_ended("s", latency_s=0.0, failure=Kind.RESET)
     timer.advance(0.6)
     health.apply_report(make_report("a"))
     assert not health.is_usable("s")
@@ -104,8 +104,8 @@
 def test_cancelled_attempt_does_not_count_as_success() -> None:
     """Guards against cancelled requests that hide a slow server."""
     _, health = make_health()
-    health.ended("s", latency_s=5.0, failure=Kind.TIMEOUT)
-    health.ended("s", latency_s=5.0, failure=Kind.TIMEOUT)
-    health.ended("s", latency_s=0.001, failure=Kind.CANCELLED)
+    health.attempt_ended("s", latency_s=5.0, failure=Kind.TIMEOUT)
+    health.attempt_ended("s", latency_s=5.0, failure=Kind.TIMEOUT)
+    health.attempt_ended("s", latency_s=0.001, failure=Kind.CANCELLED)
     assert health.state("s").latency_s == 5.0
     assert health.state("s").failures == 2
--- a/tests/components/steering/test_planner.py
+++ b/tests/components/steering/test_planner.py
@@ -52,10 +52,10 @@
     harness = simulation.Harness()
     for name in harness.catalogue.view.servers:
         slow = name == "filing-tallinn-a-0"
-        harness.health.ended(
+        harness.health.attempt_ended(
             name, latency_s=0.5 if slow else 0.05, failure=None
         )
-    harness.health.started("filing-tallinn-a-1")
+    harness.health.attempt_started("filing-tallinn-a-1")
     chosen = count_first_choices(harness, 400)
     assert chosen.get("filing-tallinn-a-0", 0) == 0
     assert chosen["filing-tallinn-a-1"] < chosen["filing-tallinn-b-0"]
