--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -12,7 +12,7 @@
 from standins import backend_server
 
 _SLOTS: dict[str, asyncio.Semaphore] = {}
-_WORK = backend_server.WorkHandler._work
+_WORK = backend_server.WorkHandler._process
 
 
 async def _work_in_slot(
@@ -25,5 +25,5 @@
 
 
 if __name__ == "__main__":
-    backend_server.WorkHandler._work = _work_in_slot  # type: ignore
+    backend_server.WorkHandler._process = _work_in_slot  # type: ignore
     typer.run(backend_server.main)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Provide small stand-ins for outside systems, for tests and demos."""
+"""Provide fakes of outside systems for tests, demos and benchmarks."""
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -1,7 +1,8 @@
-"""Stand in for backend servers: slots, health, drains and faults.
+"""Fake backend servers with slots, health probes, drains and faults.
 
-One process can serve many servers, one port each. The report counts what
-the servers saw, so that tests need not trust the system's own counters.
+One process can serve many servers, one port each. The report at /control
+lists the requests that a server ran, so that tests do not rely on the
+counters of the system under test.
 """
 
 import asyncio
@@ -21,39 +22,44 @@
 
 
 class Arrival(NamedTuple):
-    """Record one request that a server began to run."""
+    """Record one request that a server ran, to the end or until cancelled."""
 
     server: str
     request_id: str
+    # Identifies the same piece of work across repeated requests.
     work_id: str
     home_region: str
     at_s: float
     ended_at_s: float
+    # Requests in flight at the end of this one, itself included.
     in_flight: int
     bytes_in: int
     bytes_out: int
 
 
 class Faults(NamedTuple):
-    """Hold the faults that the control endpoint has set."""
+    """Hold the faults that were set through the control endpoint."""
 
     # Extra time before each answer.
     slow_s: float = 0.0
-    # Fraction of requests that are run and then cut in mid-answer.
+    # Fraction of requests that are run and whose connection is closed in the
+    # middle of the answer.
     cut: float = 0.0
-    # Fraction of requests that are run and whose connection is then reset.
+    # Fraction of requests that are run and whose connection is then closed
+    # without an answer.
     reset: float = 0.0
     # Fraction of requests that are refused as not run.
     refuse: float = 0.0
+    # Refuse requests as not run and report the state "leaving".
     leaving: bool = False
-    # Load to report whatever the true load is.
+    # Load to report instead of the true load.
     reported_load: float | None = None
-    # Answer health probes as live although the server is leaving.
+    # Report the state "live" to health probes although the server is leaving.
     hide_leaving: bool = False
 
 
-class StandinServer:
-    """Serve requests in slots and record each run."""
+class FakeServer:
+    """Hold the state of one server and record each run."""
 
     def __init__(
         self,
@@ -77,40 +83,43 @@
         self.arrivals: list[Arrival] = []
 
     def load(self) -> float:
-        """Return the load as the server reports it."""
+        """Return the reported load: requests in flight per slot."""
         if self.faults.reported_load is not None:
             return self.faults.reported_load
         return self.in_flight / self.slots
 
 
 class WorkHandler(web.RequestHandler):
-    """Run a request: take a slot, work, answer."""
+    """Run a request for the service time and answer it.
 
-    def initialize(self, *, server: StandinServer) -> None:
-        """Keep the server's state."""
+    Any number of requests run at once; max_in_flight records the maximum.
+    """
+
+    def initialize(self, *, server: FakeServer) -> None:
+        """Set the server that this handler serves."""
         self.server = server
         self.task: asyncio.Task[Any] | None = None
 
     def on_connection_close(self) -> None:
-        """Cancel the work of a caller that has gone away."""
+        """Cancel the run when the client closes the connection."""
         if self.task is not None:
             self.task.cancel()
 
     async def run(self) -> None:
-        """Handle every method alike."""
+        """Serve a request of any method."""
         self.task = asyncio.current_task()
         server = self.server
         faults = server.faults
         if faults.leaving or server.rng.random() < faults.refuse:
-            self._refuse_unrun(faults)
+            self._refuse_not_run(faults)
             return
         server.in_flight += 1
         server.max_in_flight = max(server.max_in_flight, server.in_flight)
         started_s = time.monotonic()
         try:
-            await self._work(faults)
+            await self._process(faults)
         except asyncio.CancelledError:
-            # The caller went away; the run is recorded all the same.
+            # The client closed the connection; the run is recorded anyway.
             pass
         finally:
             self._record(started_s)
@@ -124,7 +133,7 @@
     delete = run
     options = run
 
-    def _refuse_unrun(self, faults: Faults) -> None:
+    def _refuse_not_run(self, faults: Faults) -> None:
         self.server.refused += 1
         self.set_status(503)
         self.set_header(const.HEADER_WORK, const.WORK_NOT_RUN)
@@ -133,17 +142,17 @@
             self.set_header("Connection", "close")
         self.finish()
 
-    async def _work(self, faults: Faults) -> None:
+    async def _process(self, faults: Faults) -> None:
         server = self.server
-        left_s = (
+        remaining_s = (
             float(self.request.headers.get(const.HEADER_DEADLINE_MS, "30000"))
             / 1000
         )
         service_s = server.service_s * server.rng.uniform(0.8, 1.2)
-        await asyncio.sleep(min(service_s + faults.slow_s, left_s))
+        await asyncio.sleep(min(service_s + faults.slow_s, remaining_s))
         draw = server.rng.random()
         if draw < faults.reset:
-            self._cut(b"")
+            self._close_after(b"")
             return
         body = json.dumps(
             {
@@ -159,12 +168,12 @@
         ).encode()
         if draw < faults.reset + faults.cut:
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
-            self._cut(head.encode() + body[: len(body) // 2])
+            self._close_after(head.encode() + body[: len(body) // 2])
             return
         self.set_header("Content-Type", "application/json")
         self.finish(body)
 
-    def _cut(self, written: bytes) -> None:
+    def _close_after(self, written: bytes) -> None:
         connection = self.request.connection
         assert isinstance(connection, http1connection.HTTP1Connection)
         self._auto_finish = False
@@ -194,12 +203,12 @@
 class HealthHandler(web.RequestHandler):
     """Answer health probes."""
 
-    def initialize(self, *, server: StandinServer) -> None:
-        """Keep the server's state."""
+    def initialize(self, *, server: FakeServer) -> None:
+        """Set the server that this handler serves."""
         self.server = server
 
     def get(self) -> None:
-        """Write state and load."""
+        """Write state, load and incarnation."""
         server = self.server
         leaving = server.faults.leaving and not server.faults.hide_leaving
         self.write(
@@ -212,10 +221,10 @@
 
 
 class ControlHandler(web.RequestHandler):
-    """Report what was seen, and set faults."""
+    """Report the recorded requests, and set faults."""
 
-    def initialize(self, *, server: StandinServer) -> None:
-        """Keep the server's state."""
+    def initialize(self, *, server: FakeServer) -> None:
+        """Set the server that this handler serves."""
         self.server = server
 
     def get(self) -> None:
@@ -233,12 +242,12 @@
         )
 
     def put(self) -> None:
-        """Set the faults that the body names; others are cleared."""
+        """Set the faults in the body and clear all others."""
         self.server.faults = Faults(**json.loads(self.request.body))
         self.write(self.server.faults._asdict())
 
 
-def make_application(server: StandinServer) -> web.Application:
+def make_application(server: FakeServer) -> web.Application:
     """Return the web application of one server."""
     arguments = {"server": server}
     return web.Application(
@@ -252,7 +261,7 @@
 
 
 def main(
-    servers: str = typer.Option(help="name=port, separated by commas"),
+    servers: str = typer.Option(help="name=port pairs, separated by commas"),
     slots: int = 3,
     service_s: float = 0.05,
     answer_bytes: int = 200,
@@ -263,7 +272,7 @@
     async def serve() -> None:
         for index, pair in enumerate(servers.split(",")):
             name, port = pair.split("=")
-            server = StandinServer(
+            server = FakeServer(
                 name=name,
                 slots=slots,
                 service_s=service_s,
--- a/standins/builders.py
+++ b/standins/builders.py
@@ -1,4 +1,4 @@
-"""Build small catalogues and identities for tests."""
+"""Build catalogue entries and entry hosts for tests."""
 
 from samphirelug.components.catalogue import model
 from samphirelug.components.catalogue import view
@@ -49,11 +49,11 @@
             {
                 "name": f"{name}-{zone}-{index}",
                 "availability_zone": zone,
-                "address": f"127.0.0.1:{9000 + 10 * place + index}",
+                "address": f"127.0.0.1:{9000 + 10 * zone_index + index}",
                 "slots": slots,
                 "connections": 360,
             }
-            for place, zone in enumerate(zones)
+            for zone_index, zone in enumerate(zones)
             for index in range(per_zone)
         ],
     }
@@ -82,7 +82,7 @@
 
 
 def make_view() -> view.CatalogueView:
-    """Return three linked regions, one service and work of each rank."""
+    """Return a catalogue of three linked regions with work of each rank."""
     regions = ["tallinn", "tartu", "parnu"]
     zones = [f"{region}-{zone}" for region in regions for zone in "ab"]
     return view.CatalogueView(
@@ -104,7 +104,7 @@
 
 
 def make_host(name: str = "eh1", *, zone: str = "tallinn-a") -> core.EntryHost:
-    """Return an entry host in an availability zone of the small view."""
+    """Return an entry host in an availability zone of make_view()."""
     return core.EntryHost(
         name=name,
         incarnation=f"{name}-1",
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""Call the system as a caller would: look up, run, go on to the next."""
+"""Call the system as a caller does: look up hosts, run, try the next."""
 
 import json
 from typing import Any
@@ -10,29 +10,32 @@
 from samphirelug.helpers import timer
 
 LOOKUP_TIMEOUT_S = 2.0
-# Time beyond the deadline that the answer may take to come back.
+# Extra time after the deadline for the answer to arrive.
 ANSWER_GRACE_S = 2.0
-# Refusals that are about one entry host only.
-NEXT_HOST_CODES = ("STOPPING", "NO_SHARE", "NO_CATALOGUE")
+# Refusals that concern only the entry host that sent them, so that another
+# one may take the request.
+NEXT_HOST_REFUSALS = ("STOPPING", "NO_SHARE", "NO_CATALOGUE")
 
 
 class CallResult(NamedTuple):
-    """Hold what a caller got for one request."""
+    """Hold the result of one request."""
 
-    # HTTP status; 0 where no entry host answered.
+    # HTTP status; 0 if no entry host answered.
     status: int
     # Result code of a refusal; 0 for an answer.
     code: int
+    # Name of the result code, "OK" for an answer, or why no answer came.
     name: str
     effect: str
     body: dict[str, Any]
     entry_host: str
     seconds: float
+    # Number of entry hosts tried.
     attempts: int
 
 
 class PreparedCall(NamedTuple):
-    """Hold a request that any of several entry hosts may take."""
+    """Hold a request that can be sent to any of several entry hosts."""
 
     work: str
     path: str
@@ -43,14 +46,17 @@
 
 
 class CachedLookup(NamedTuple):
-    """Hold a look-up answer and when it stops being valid."""
+    """Hold a look-up answer and the time until which it is valid."""
 
     answer: dict[str, Any]
     valid_until_s: float
 
 
 class Caller:
-    """Send requests near one place, keeping look-up answers."""
+    """Send requests from one place and cache look-up answers.
+
+    The place is the name of a region or an availability zone.
+    """
 
     def __init__(
         self,
@@ -73,11 +79,14 @@
         self.client.close()
 
     async def look_up(self, work: str, *, fresh: bool = False) -> CallResult:
-        """Return a look-up answer as the body of the result."""
-        kept = self.cache.get(work)
+        """Return a look-up answer as the body of the result.
+
+        With fresh, a cached answer is not used.
+        """
+        cached = self.cache.get(work)
         now = self.timer.monotonic()
-        if not fresh and kept is not None and kept.valid_until_s > now:
-            return CallResult(200, 0, "OK", "done", kept.answer, "", 0.0, 0)
+        if not fresh and cached is not None and cached.valid_until_s > now:
+            return CallResult(200, 0, "OK", "done", cached.answer, "", 0.0, 0)
         result = CallResult(0, 0, "NO_ANSWER", "not_run", {}, "", 0.0, 0)
         for url in self.lookup_urls:
             result = await self._fetch(
@@ -106,10 +115,10 @@
         work_id: str = "",
         lookup: dict[str, Any] | None = None,
     ) -> CallResult:
-        """Run a request at the first entry host that takes it.
+        """Run a request at the first entry host that accepts it.
 
-        Work with a run token is sent to the host that the token names; a
-        caller repeats it with the same look-up answer.
+        Pass the same look-up answer to repeat work that has a run token: it
+        must go to the entry host that the token names.
         """
         started_s = self.timer.monotonic()
         if lookup is None:
@@ -129,13 +138,13 @@
             headers[const.HEADER_RUN_TOKEN] = lookup["run_token"]
         request = PreparedCall(work, path, method, body, deadline_s, headers)
         result = await self._try_hosts(request, lookup, started_s)
-        gone = result.status == 0 or result.name in NEXT_HOST_CODES
-        if gone and not lookup.get("run_token"):
-            # None of the hosts of a kept look-up answer serves any more.
+        unserved = result.status == 0 or result.name in NEXT_HOST_REFUSALS
+        if unserved and not lookup.get("run_token"):
+            # No entry host of the cached look-up answer serves any more.
             found = await self.look_up(work, fresh=True)
             if found.status == 200:
                 result = await self._try_hosts(request, found.body, started_s)
-        if result.status == 0 or result.name in NEXT_HOST_CODES:
+        if result.status == 0 or result.name in NEXT_HOST_REFUSALS:
             self.cache.pop(work, None)
         return result
 
@@ -156,14 +165,17 @@
                 attempts=attempt,
                 seconds=self.timer.monotonic() - started_s,
             )
-            if not self._try_next(result, has_token="run_token" in lookup):
+            if not self._should_try_next(
+                result, has_token="run_token" in lookup
+            ):
                 break
         return result
 
-    def _try_next(self, result: CallResult, *, has_token: bool) -> bool:
+    def _should_try_next(self, result: CallResult, *, has_token: bool) -> bool:
         if result.status == 0:
+            # Work without a run token is repeatable.
             return result.effect == "not_run" or not has_token
-        return result.name in NEXT_HOST_CODES
+        return result.name in NEXT_HOST_REFUSALS
 
     async def _fetch(
         self,
@@ -193,9 +205,9 @@
                 0, 0, str(error), "outcome_unknown", {}, "", 0.0, 0
             )
         seconds = self.timer.monotonic() - started_s
-        return self._read(response, seconds)
+        return self._parse_response(response, seconds)
 
-    def _read(
+    def _parse_response(
         self, response: httpclient.HTTPResponse, seconds: float
     ) -> CallResult:
         if isinstance(response.error, ConnectionRefusedError):
--- a/standins/checks.py
+++ b/standins/checks.py
@@ -1,6 +1,6 @@
-"""Check promises by what callers and backend servers saw.
+"""Check guarantees against records of callers and backend servers.
 
-Nothing here reads the system's own counters.
+The counters of the system under test are not used.
 """
 
 from collections.abc import Iterable
@@ -11,8 +11,9 @@
 
 
 class Call(NamedTuple):
-    """Pair what a caller asked with what it got."""
+    """Pair a caller's request with its result."""
 
+    # Identifies the same piece of work across repeated requests.
     work_id: str
     body: str
     result: caller.CallResult
@@ -21,17 +22,18 @@
 
 
 class Interval(NamedTuple):
-    """Hold the time for which a server worked on a request."""
+    """Hold the start and the end of a period."""
 
     start_s: float
     end_s: float
 
 
+# Reports of backend servers by name; the names begin with the region.
 Reports = dict[str, dict[str, Any]]
 
 
 def runs_by_work_id(reports: Reports) -> dict[str, int]:
-    """Return how often each piece of work was run on any server."""
+    """Return the number of runs on all servers by work ID."""
     runs: dict[str, int] = {}
     for report in reports.values():
         for arrival in report["arrivals"]:
@@ -41,13 +43,13 @@
 
 
 def double_runs(reports: Reports, work_ids: Iterable[str]) -> list[str]:
-    """Return the work that was run more than once."""
+    """Return the work IDs that were run more than once."""
     runs = runs_by_work_id(reports)
     return [each for each in work_ids if runs.get(each, 0) > 1]
 
 
 def false_not_run(reports: Reports, calls: Iterable[Call]) -> list[Call]:
-    """Return the calls that were told "not run" although they were run."""
+    """Return the calls that were refused as not run although they ran."""
     runs = runs_by_work_id(reports)
     return [
         call
@@ -59,7 +61,7 @@
 
 
 def wrong_answers(calls: Iterable[Call]) -> list[Call]:
-    """Return the calls whose answer is not the whole answer to its own."""
+    """Return the calls whose answer is truncated or to another request."""
     return [
         call
         for call in calls
@@ -77,7 +79,7 @@
 
 
 def overfull_servers(reports: Reports) -> dict[str, int]:
-    """Return the servers that had more requests than slots at once."""
+    """Return the peak of requests in flight where it exceeds the slots."""
     return {
         name: report["max_in_flight"]
         for name, report in reports.items()
@@ -86,21 +88,21 @@
 
 
 def peak_overlap(intervals: Iterable[Interval]) -> int:
-    """Return the largest number of intervals that overlap."""
+    """Return the largest number of intervals that overlap at one moment."""
     steps: list[tuple[float, int]] = []
     for interval in intervals:
         steps.append((interval.start_s, 1))
         steps.append((interval.end_s, -1))
-    most = now = 0
-    # At equal times ends come first.
+    peak = current = 0
+    # At equal times, ends sort before starts.
     for _, step in sorted(steps):
-        now += step
-        most = max(most, now)
-    return most
+        current += step
+        peak = max(peak, current)
+    return peak
 
 
 def peak_in_flight(reports: Reports, region: str) -> int:
-    """Return the most requests that a region's servers had at once."""
+    """Return the peak of requests in flight at a region's servers."""
     return peak_overlap(
         Interval(arrival["at_s"], arrival["ended_at_s"])
         for name, report in reports.items()
@@ -110,7 +112,7 @@
 
 
 def peak_shifted(reports: Reports, region: str, window_s: float) -> int:
-    """Return the most arrivals from other regions in any time window."""
+    """Return the most arrivals from other regions in any window_s seconds."""
     return peak_overlap(
         Interval(arrival["at_s"], arrival["at_s"] + window_s)
         for name, report in reports.items()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole path once and print what each caller got."""
+"""Run the whole system once on loopback and print the callers' results."""
 
 import asyncio
 import json
@@ -19,6 +19,7 @@
     fleet.HostLocation("eh-tallinn-2", "tallinn-b", "tallinn"),
     fleet.HostLocation("eh-tartu", "tartu-a", "tartu"),
 ]
+# Availability zones by region.
 REGIONS = {
     "tallinn": ["tallinn-a", "tallinn-b"],
     "tartu": ["tartu-a", "tartu-b"],
@@ -26,7 +27,7 @@
 
 
 def demo_catalogue(server_ports: dict[str, int]) -> list[dict[str, Any]]:
-    """Return two linked regions, one service and work of each rank."""
+    """Return a catalogue of two linked regions with work of each rank."""
     regions = [
         {
             "kind": "region",
@@ -92,22 +93,25 @@
 
 
 async def run_demo(program: list[str] | None) -> int:
-    """Start everything, send requests, stop; return the exit code."""
+    """Start the system, send requests, stop it; return the exit code."""
     async with fleet.Fleet(hosts=HOSTS, program=program) as running:
         names = [
-            f"{z}-{i}" for zs in REGIONS.values() for z in zs for i in "12"
+            f"{zone}-{number}"
+            for zones in REGIONS.values()
+            for zone in zones
+            for number in "12"
         ]
         await running.start_servers("servers", names)
         await asyncio.gather(
-            *(running.start_host(p.name, wait=False) for p in HOSTS)
+            *(running.start_host(host.name, wait=False) for host in HOSTS)
         )
         await apply_catalogue(running)
-        for place in HOSTS:
-            await running.wait_host_ready(place.name)
+        for host in HOSTS:
+            await running.wait_host_ready(host.name)
         await send_requests(running)
-        for place in HOSTS:
-            running.signal(place.name, signal.SIGINT)
-        codes = [await running.wait_exit(place.name) for place in HOSTS]
+        for host in HOSTS:
+            running.signal(host.name, signal.SIGINT)
+        codes = [await running.wait_exit(host.name) for host in HOSTS]
         print(f"entry hosts ended with {codes}")
         return 0 if codes == [0, 0, 0] else 1
 
@@ -117,10 +121,10 @@
     path = pathlib.Path(running.directory.name, "demo.yaml")
     entries = demo_catalogue(running.server_ports)
     path.write_text(yaml.safe_dump_all(entries))
-    words = [
-        word
+    url_flags = [
+        argument
         for name in running.hosts
-        for word in ("--entry-host-url", running.operator_url(name))
+        for argument in ("--entry-host-url", running.operator_url(name))
     ]
     code, out, err = await running.command(
         "catalogue",
@@ -129,16 +133,18 @@
         "--store-url",
         running.store_url,
         "--wait",
-        *words,
+        *url_flags,
     )
     print(out or err)
     if code != 0:
         logs = "".join(running.log_text(name) for name in running.hosts)
-        raise RuntimeError(f"catalogue apply ended with {code}: {err}{logs}")
+        raise RuntimeError(
+            f"catalogue apply exited with code {code}: {err}{logs}"
+        )
 
 
 async def send_requests(running: fleet.Fleet) -> None:
-    """Send requests of each rank from both regions, and bad ones."""
+    """Send requests of each rank from both regions, and two invalid ones."""
     timer_service = timer.LoopTimerService()
     urls = [running.caller_url(name) for name in running.hosts]
     for place in REGIONS:
@@ -146,34 +152,36 @@
             lookup_urls=urls, place=place, timer_service=timer_service
         )
         for work in ("file-claim", "case-status", "case-export"):
-            found = await client.look_up(work)
+            lookup = await client.look_up(work)
             for _ in range(2):
                 result = await client.call(
-                    work, path="/x?y=1", body="claim", lookup=found.body
+                    work, path="/x?y=1", body="claim", lookup=lookup.body
                 )
-                show(f"{place}: {work}", result)
-        show(f"{place}: no-such-work", await client.call("no-such-work"))
+                print_result(f"{place}: {work}", result)
+        print_result(
+            f"{place}: no-such-work", await client.call("no-such-work")
+        )
         client.close()
     client = caller.Caller(
         lookup_urls=urls, place="tallinn", timer_service=timer_service
     )
-    found = await client.look_up("file-claim")
-    found.body.pop("run_token")
-    result = await client.call("file-claim", lookup=found.body)
-    show("tallinn: file-claim without a token", result)
+    lookup = await client.look_up("file-claim")
+    lookup.body.pop("run_token")
+    result = await client.call("file-claim", lookup=lookup.body)
+    print_result("tallinn: file-claim without a token", result)
     client.close()
 
 
-def show(title: str, result: caller.CallResult) -> None:
-    """Print what a caller got in one line."""
+def print_result(title: str, result: caller.CallResult) -> None:
+    """Print the result of one request in a line."""
     if result.code:
-        what = f"{result.code} {result.name} ({result.effect})"
+        outcome = f"{result.code} {result.name} ({result.effect})"
     else:
-        what = f"answer of {result.body.get('server')}"
+        outcome = f"answer of {result.body.get('server')}"
     detail = result.body.get("detail", "")
     milliseconds = result.seconds * 1000
     print(
-        f"{title:40} {result.status} {what} by {result.entry_host or '-'}"
+        f"{title:40} {result.status} {outcome} by {result.entry_host or '-'}"
         f" in {milliseconds:.0f} ms {detail}"
     )
     if not result.status:
@@ -183,7 +191,7 @@
 def main(
     binary: str = typer.Option("", help="samphirelug binary to start"),
 ) -> None:
-    """Run the whole path once."""
+    """Run the whole system once on loopback and print the results."""
     program = [sys.executable, binary] if binary else None
     try:
         code = asyncio.run(run_demo(program))
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -112,7 +112,7 @@
         return http_model.Response(200, reason, tuple(headers), body)
 
 
-class StandinServer:
+class FakeServer:
     """Listen for requests as one server incarnation."""
 
     def __init__(
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -109,7 +109,7 @@
         self.rng = rng
         self.store = store.StoreState(rng=rng)
         self.run_log = servers.RunLog()
-        self.servers: dict[str, servers.StandinServer] = {}
+        self.servers: dict[str, servers.FakeServer] = {}
         self.proxies: dict[str, proxy.FaultyProxy] = {}
         self.store_proxies: list[proxy.FaultyProxy] = []
         self.hosts: list[HostProcess] = []
@@ -156,7 +156,7 @@
         """Start a server behind a proxy and register it in the store."""
         self.servers_started += 1
         instance_id = f"i-{self.servers_started}"
-        server = servers.StandinServer(
+        server = servers.FakeServer(
             instance_id=instance_id, run_log=self.run_log, rng=self.rng
         )
         server.start("127.0.0.1")
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's object store, with faults on demand.
+"""Fake the platform's object store in memory, with faults on demand.
 
 Run it with: python -m standins.store --port N
 """
@@ -29,31 +29,31 @@
 ObjectResult = Result[model.StoredObject, result_codes.Refusal]
 ListingResult = Result[model.Listing, result_codes.Refusal]
 
-# Enough versions for stale lists; bounds the memory of long runs.
+# Versions kept for stale reads; bounds the memory of long runs.
 MAX_HISTORY = 20_000
-# The platform takes values of up to a megabyte.
+# The platform's store accepts values of up to 1 MiB.
 MAX_BODY_BYTES = 1024 * 1024
 MAX_WATCH_S = 60.0
 CATALOGUE_PREFIX = "catalogue/"
 
 
 class FaultSettings(TypedDict, total=False):
-    """Set faults; a field that is absent keeps its value."""
+    """Describe faults to set; absent fields keep their values."""
 
-    # Every call fails without an effect.
+    # All calls fail without any effect.
     down: bool
-    # Every answer comes this much later; a write takes effect first.
+    # All answers are delayed by this time; writes take effect before it.
     delay_s: float
-    # This many next writes take effect but are not answered.
+    # Number of next writes that take effect but are not answered.
     lose_answers: int
-    # This many next writes are dropped before they take effect.
+    # Number of next writes that are dropped without effect or answer.
     lose_requests: int
-    # This many next writes to the catalogue wait until all have come; entry
-    # hosts' own writes go on.
+    # Number of next writes to the catalogue that wait until all of them have
+    # arrived; writes of entry hosts are not held back.
     gather_writes: int
-    # Reads, lists and watches answer as of this many revisions ago.
+    # Number of revisions by which reads, lists and watches are stale.
     stale_by: int
-    # This many next watch answers leave out their objects.
+    # Number of next watch answers that omit their objects.
     skip_watch_answers: int
 
 
@@ -61,7 +61,7 @@
 
 
 class Faults:
-    """Hold the faults in force."""
+    """Hold the active faults; see FaultSettings."""
 
     def __init__(self) -> None:
         self.down = False
@@ -73,21 +73,21 @@
         self.skip_watch_answers = 0
 
     def update(self, settings: FaultSettings) -> None:
-        """Take over the fields that are present."""
+        """Apply the fields that are present."""
         for name, value in settings.items():
             setattr(self, name, value)
 
 
 class PutOutcome(NamedTuple):
-    """Tell whether a conditional write took effect."""
+    """Hold the result of a conditional write."""
 
     written: bool
-    # The new version, or the one that stood in the way.
+    # The written version, or the one that conflicts with the write.
     current: model.StoredObject | None
 
 
 class StoreCore:
-    """Hold versioned objects in memory and count the calls."""
+    """Hold versioned objects, the active faults and the call counts."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -97,14 +97,15 @@
         )
         self.faults = Faults()
         self.calls: collections.Counter[str] = collections.Counter()
-        # Set when the last of the gathered writes has come.
+        # Set when the last of the gathered writes has arrived.
         self.gathered = asyncio.Event()
+        # Number of watches that wait for a change.
         self.waiting = 0
         self.waiters: set[asyncio.Future[None]] = set()
 
     def get(self, key: str) -> model.StoredObject | None:
         """Return an object."""
-        return self._visible().get(key)
+        return self._visible_objects().get(key)
 
     def list(self, prefix: str) -> model.Listing:
         """Return the objects under a prefix."""
@@ -128,10 +129,10 @@
         return PutOutcome(True, written)
 
     def changes(self, prefix: str, after: int) -> model.Listing:
-        """Return the objects whose last write is after the revision."""
+        """Return the objects that were last written after the revision."""
         found = [
             item
-            for item in self._visible().values()
+            for item in self._visible_objects().values()
             if item.revision > after and item.key.startswith(prefix)
         ]
         found.sort(key=lambda item: item.revision)
@@ -146,7 +147,7 @@
         timeout_s: float,
         timer: timer_helper.TimerService,
     ) -> model.Listing:
-        """Wait for changes under a prefix; empty when the time is up."""
+        """Wait for changes under a prefix; empty after timeout_s."""
         until_s = timer.monotonic() + timeout_s
         self.waiting += 1
         try:
@@ -179,8 +180,8 @@
             timeout.cancel()
             self.waiters.discard(waiter)
 
-    def _visible(self) -> dict[str, model.StoredObject]:
-        """Return what reads see, which may be stale."""
+    def _visible_objects(self) -> dict[str, model.StoredObject]:
+        """Return the objects that reads see, which may be stale."""
         if not self.faults.stale_by:
             return self.objects
         revision = self.revision - self.faults.stale_by
@@ -192,9 +193,9 @@
 
 
 class FakeObjectStore(object_store.ObjectStore):
-    """Offer one client's view of a store core in the same process.
+    """Access a StoreCore of the same process as one client.
 
-    Set reachable to False to cut off this client alone.
+    Set reachable to False to make the store unreachable for this client only.
     """
 
     def __init__(
@@ -213,7 +214,7 @@
         """Return an object; OBJECT_NOT_FOUND where there is none."""
         self.core.calls["get"] += 1
         found = self.core.get(key)
-        if not await self._answered():
+        if not await self._delay_answer():
             return Failure(_unavailable())
         if found is None:
             return Failure(
@@ -227,7 +228,7 @@
         """Return the objects whose keys start with the prefix."""
         self.core.calls["list"] += 1
         found = self.core.list(prefix)
-        if not await self._answered():
+        if not await self._delay_answer():
             return Failure(_unavailable())
         return Success(found)
 
@@ -237,17 +238,17 @@
         """Write if the object still has the revision; 0 creates it."""
         self.core.calls["put"] += 1
         faults = self.core.faults
-        if not self._up():
+        if not self._is_up():
             return Failure(_unavailable())
         if faults.lose_requests:
             faults.lose_requests -= 1
-            return Failure(_unknown(key))
+            return Failure(_outcome_unknown(key))
         outcome = self.core.put(key, value, expected_revision)
         if faults.lose_answers:
             faults.lose_answers -= 1
-            return Failure(_unknown(key))
-        if not await self._answered():
-            return Failure(_unknown(key))
+            return Failure(_outcome_unknown(key))
+        if not await self._delay_answer():
+            return Failure(_outcome_unknown(key))
         if not outcome.written or outcome.current is None:
             return Failure(
                 result_codes.Refusal(
@@ -261,21 +262,22 @@
     ) -> ListingResult:
         """Wait for objects with a revision above after."""
         self.core.calls["watch"] += 1
-        if not self._up():
+        if not self._is_up():
             return Failure(_unavailable())
         found = await self.core.watch(prefix, after, timeout_s, self.timer)
-        if not await self._answered():
+        if not await self._delay_answer():
             return Failure(_unavailable())
         return Success(found)
 
-    def _up(self) -> bool:
+    def _is_up(self) -> bool:
         return self.reachable and not self.core.faults.down
 
-    async def _answered(self) -> bool:
+    async def _delay_answer(self) -> bool:
+        """Apply the delay; return whether the answer arrives in time."""
         delay_s = self.core.faults.delay_s
         if delay_s:
             await self.timer.sleep(min(delay_s, self.timeout_s))
-        return self._up() and delay_s < self.timeout_s
+        return self._is_up() and delay_s < self.timeout_s
 
 
 def _unavailable() -> result_codes.Refusal:
@@ -284,7 +286,7 @@
     )
 
 
-def _unknown(key: str) -> result_codes.Refusal:
+def _outcome_unknown(key: str) -> result_codes.Refusal:
     return result_codes.Refusal(
         result_codes.ResultCode.STORE_OUTCOME_UNKNOWN,
         f"the answer to the write of {key} was lost",
@@ -292,44 +294,44 @@
 
 
 class _Handler(tornado.web.RequestHandler):
-    """Apply the faults that all calls have in common."""
+    """Apply the faults that affect all calls."""
 
     def initialize(
         self, core: StoreCore, timer: timer_helper.TimerService
     ) -> None:
-        """Take the shared core."""
+        """Set the core and the timer that all handlers share."""
         self.core = core
         self.timer = timer
 
     async def respond(self, status: int, body: Mapping[str, Any]) -> None:
-        """Answer after the delay; drop the connection while down."""
+        """Respond after the delay, or close the connection if down."""
         if self.core.faults.delay_s:
             await self.timer.sleep(self.core.faults.delay_s)
         if self.core.faults.down:
-            self.drop()
+            self.drop_connection()
             return
         self.set_status(status)
         self.finish(json.dumps(body))
 
-    def drop(self) -> None:
-        """Close the connection without an answer."""
+    def drop_connection(self) -> None:
+        """Close the connection without a response."""
         self._finished = True
         self._auto_finish = False
         connection = self.request.connection
         if isinstance(connection, http1connection.HTTP1Connection):
             connection.stream.close()
 
-    def number(self, name: str, default: float) -> float:
+    def numeric_argument(self, name: str, default: float) -> float:
         """Return a query argument as a number."""
         try:
             return float(self.get_query_argument(name, str(default)))
         except ValueError:
             raise tornado.web.HTTPError(
-                400, "%s is not a number", name
+                400, "query argument %s is not a number", name
             ) from None
 
     def on_connection_close(self) -> None:
-        """Stop waiting for a caller that has gone."""
+        """Cancel the watch of a client that has disconnected."""
         task = getattr(self, "task", None)
         if task is not None:
             task.cancel()
@@ -350,11 +352,11 @@
         self.core.calls["put"] += 1
         faults = self.core.faults
         if faults.down:
-            self.drop()
+            self.drop_connection()
             return
         if faults.lose_requests:
             faults.lose_requests -= 1
-            self.drop()
+            self.drop_connection()
             return
         if len(self.request.body) > MAX_BODY_BYTES:
             raise tornado.web.HTTPError(413)
@@ -362,7 +364,9 @@
             value = json.loads(self.request.body)
             expected = int(self.request.headers["If-Match"])
         except (KeyError, ValueError):
-            raise tornado.web.HTTPError(400, "bad value or If-Match") from None
+            raise tornado.web.HTTPError(
+                400, "invalid JSON value or If-Match revision"
+            ) from None
         if faults.gather_writes and key.startswith(CATALOGUE_PREFIX):
             faults.gather_writes -= 1
             if not faults.gather_writes:
@@ -371,7 +375,7 @@
         outcome = self.core.put(key, value, expected)
         if faults.lose_answers:
             faults.lose_answers -= 1
-            self.drop()
+            self.drop_connection()
             return
         current = outcome.current._asdict() if outcome.current else {}
         await self.respond(200 if outcome.written else 412, current)
@@ -387,16 +391,16 @@
 
 class _WatchHandler(_Handler):
     async def get(self) -> None:
-        """Answer when there are changes, or empty when the time is up."""
+        """Respond to changes under a prefix, or empty after timeout_s."""
         self.core.calls["watch"] += 1
         if self.core.faults.down:
-            self.drop()
+            self.drop_connection()
             return
         self.task = asyncio.ensure_future(
             self.core.watch(
                 self.get_query_argument("prefix", ""),
-                int(self.number("after", 0)),
-                min(self.number("timeout_s", 0.0), MAX_WATCH_S),
+                int(self.numeric_argument("after", 0)),
+                min(self.numeric_argument("timeout_s", 0.0), MAX_WATCH_S),
                 self.timer,
             )
         )
@@ -409,7 +413,7 @@
 
 class _FaultsHandler(_Handler):
     def post(self) -> None:
-        """Set faults."""
+        """Set the faults in the body and return all active ones."""
         try:
             settings = FAULTS.validate_json(self.request.body)
         except pydantic.ValidationError as error:
@@ -420,7 +424,7 @@
 
 class _CallsHandler(_Handler):
     def get(self) -> None:
-        """Return the number of calls by kind and the watches that wait."""
+        """Return the number of calls by kind and of waiting watches."""
         self.finish(
             json.dumps({**self.core.calls, "waiting": self.core.waiting})
         )
@@ -436,7 +440,7 @@
 def make_application(
     core: StoreCore, timer: timer_helper.TimerService
 ) -> tornado.web.Application:
-    """Return the HTTP application over a core."""
+    """Return the HTTP application that serves a core."""
     shared = {"core": core, "timer": timer}
     return tornado.web.Application(
         [
@@ -451,7 +455,7 @@
 
 
 def listen(core: StoreCore, *, port: int, address: str = "127.0.0.1") -> int:
-    """Serve the core on the running loop and return the port."""
+    """Serve the core on the running event loop and return the port."""
     sockets = tornado.netutil.bind_sockets(port, address)
     server = tornado.httpserver.HTTPServer(
         make_application(core, timer_helper.LoopTimerService())
@@ -468,7 +472,7 @@
 
 
 def main() -> None:
-    """Run the stand-in until it is stopped."""
+    """Serve the fake store until stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--address", default="127.0.0.1")
--- a/standins/walkthrough.py
+++ b/standins/walkthrough.py
@@ -1,8 +1,8 @@
-"""Carry out the walk-throughs of docs/operators.md as they are written.
+"""Run the walk-throughs of docs/operators.md and check their output.
 
-The page's console blocks hold commands, each after "$ ", and what one sees.
-"..." stands for any text. Blocks marked "repeat" are run again until they
-match, since what they show needs some seconds.
+The page's console blocks hold commands, each after "$ ", and the expected
+output, in which "..." matches any text. Blocks marked "repeat" are run again
+until they match, since their output takes some seconds to appear.
 """
 
 import asyncio
@@ -28,16 +28,17 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = ROOT / "docs" / "operators.md"
 SOURCE = ROOT / "src"
-REPEAT_S = 60.0
+REPEAT_TIMEOUT_S = 60.0
 REPEAT_PAUSE_S = 0.3
 COMMAND_TIMEOUT_S = 90.0
 LOOKUP_KEEP_S = 2
-FLAGS = doctest.ELLIPSIS | doctest.NORMALIZE_WHITESPACE
-END = "end-of-command"
+OUTPUT_FLAGS = doctest.ELLIPSIS | doctest.NORMALIZE_WHITESPACE
+# Written after each command, to find the end of its output.
+END_MARKER = "end-of-command"
 
 
 class Command(NamedTuple):
-    """Hold one command and what the page says one sees."""
+    """Hold one command and its expected output."""
 
     text: str
     expected: str
@@ -56,16 +57,16 @@
     number: int
     title: str
     blocks: tuple[Block, ...]
-    # File name to content, from blocks marked file=NAME.
+    # Contents by file name, from blocks marked file=NAME.
     files: dict[str, str]
 
 
 class MismatchError(Exception):
-    """Report output that is not what the page says."""
+    """Report output that differs from the page."""
 
 
-def read_page(text: str) -> list[Section]:
-    """Return the numbered sections of the page that have console blocks."""
+def parse_sections(text: str) -> list[Section]:
+    """Return the numbered sections of the page with their blocks."""
     sections = []
     for part in re.split(r"^## ", text, flags=re.MULTILINE)[1:]:
         title = part.partition("\n")[0]
@@ -78,14 +79,14 @@
             r"^```(.*)\n((?:(?!```).*\n)*)```$", part, flags=re.MULTILINE
         ):
             if info.startswith("console"):
-                blocks.append(Block(_commands(body), "repeat" in info))
+                blocks.append(Block(_parse_commands(body), "repeat" in info))
             elif "file=" in info:
                 files[info.partition("file=")[2]] = body
         sections.append(Section(int(numbered[1]), title, tuple(blocks), files))
     return sections
 
 
-def _commands(body: str) -> tuple[Command, ...]:
+def _parse_commands(body: str) -> tuple[Command, ...]:
     found = []
     for part in re.split(r"^\$ ", body, flags=re.MULTILINE)[1:]:
         text, _, expected = part.partition("\n")
@@ -94,7 +95,7 @@
 
 
 class Shell:
-    """Run commands one by one in one shell, as an operator does."""
+    """Run commands one after the other in a shell, as an operator does."""
 
     def __init__(self, *, directory: str, environment: dict[str, str]) -> None:
         self.directory = directory
@@ -113,22 +114,22 @@
         )
 
     async def run(self, text: str) -> str:
-        """Return what a command writes to both outputs."""
+        """Run a command and return what it writes to stdout and stderr."""
         assert self.process is not None
         assert self.process.stdin is not None
         assert self.process.stdout is not None
-        line = f"{text}\nprintf '\\n%s\\n' {END}\n"
+        line = f"{text}\nprintf '\\n%s\\n' {END_MARKER}\n"
         self.process.stdin.write(line.encode())
         await self.process.stdin.drain()
         output: list[str] = []
         while True:
             read = await self.process.stdout.readline()
-            if not read or read.decode().rstrip("\n") == END:
+            if not read or read.decode().rstrip("\n") == END_MARKER:
                 return "".join(output).removesuffix("\n")
             output.append(read.decode(errors="replace"))
 
     async def stop(self) -> None:
-        """End the shell; processes that it started go on."""
+        """Kill the shell; processes that it started continue."""
         if self.process is None:
             return
         if self.process.returncode is None:
@@ -138,28 +139,28 @@
 
 
 def prepare(running: fleet.Fleet) -> dict[str, str]:
-    """Write the files that the page starts from; return the variables."""
+    """Write the files that the page assumes; return the environment."""
     directory = pathlib.Path(running.directory.name)
     wrapper = directory / "bin" / "samphirelug"
     wrapper.parent.mkdir()
-    path = "" if running.is_binary else f"PYTHONPATH={SOURCE} "
+    assignment = "" if running.is_binary else f"PYTHONPATH={SOURCE} "
     wrapper.write_text(
-        f'#!/bin/sh\n{path}exec {shlex.join(running.program)} "$@"\n'
+        f'#!/bin/sh\n{assignment}exec {shlex.join(running.program)} "$@"\n'
     )
     wrapper.chmod(0o755)
     entries = demo.demo_catalogue(running.server_ports)
     (directory / "demo.yaml").write_text(yaml.safe_dump_all(entries))
-    for place in running.hosts.values():
-        ports = running.ports[place.name]
+    for host in running.hosts.values():
+        ports = running.ports[host.name]
         peers = [
             f"ws://127.0.0.1:{running.ports[other].peer}"
             for other in running.hosts
-            if other != place.name
+            if other != host.name
         ]
         settings = {
-            "NAME": place.name,
-            "AVAILABILITY_ZONE": place.availability_zone,
-            "REGION": place.region,
+            "NAME": host.name,
+            "AVAILABILITY_ZONE": host.availability_zone,
+            "REGION": host.region,
             "LISTEN_ADDRESS": "127.0.0.1",
             "ADVERTISE_ADDRESS": "127.0.0.1",
             "URGENT_PORT": ports.callers[core.Rank.URGENT],
@@ -172,7 +173,7 @@
             "PEER": " ".join(peers),
             "LOOKUP_KEEP_S": LOOKUP_KEEP_S,
         }
-        (directory / f"{place.name}.env").write_text(
+        (directory / f"{host.name}.env").write_text(
             "".join(
                 f"SAMPHIRELUG_{key}={shlex.quote(str(value))}\n"
                 for key, value in settings.items()
@@ -195,52 +196,54 @@
     }
 
 
-async def carry_out(section: Section, *, shell: Shell, directory: str) -> None:
-    """Run a section's commands; MismatchError if one shows other output."""
+async def run_section(
+    section: Section, *, shell: Shell, directory: str
+) -> None:
+    """Run a section's commands; MismatchError if an output differs."""
     print(f"\n## {section.title}", flush=True)
     for name, content in section.files.items():
         pathlib.Path(directory, name).write_text(content)
     timer_service = timer.LoopTimerService()
     for block in section.blocks:
-        end_s = timer_service.monotonic() + REPEAT_S
+        end_s = timer_service.monotonic() + REPEAT_TIMEOUT_S
         while True:
-            shown, mismatch = await _run_block(block, shell)
-            late = timer_service.monotonic() >= end_s
-            if not mismatch or not block.repeat or late:
+            transcript, mismatch = await _run_block(block, shell)
+            timed_out = timer_service.monotonic() >= end_s
+            if not mismatch or not block.repeat or timed_out:
                 break
             await timer_service.sleep(REPEAT_PAUSE_S)
-        print(shown, end="", flush=True)
+        print(transcript, end="", flush=True)
         if mismatch:
             raise MismatchError(mismatch)
 
 
 async def _run_block(block: Block, shell: Shell) -> tuple[str, str]:
-    """Return what was shown, and the first mismatch or nothing."""
+    """Return the transcript, and the first mismatch or an empty string."""
     checker = doctest.OutputChecker()
-    shown = ""
+    transcript = ""
     for command in block.commands:
         try:
             got = await asyncio.wait_for(
                 shell.run(command.text), COMMAND_TIMEOUT_S
             )
         except TimeoutError:
-            return shown, f"$ {command.text}\ndid not end"
-        shown += f"$ {command.text}\n{got}"
-        if not checker.check_output(command.expected, got, FLAGS):
-            return shown, (
+            return transcript, f"$ {command.text}\ndid not end in time"
+        transcript += f"$ {command.text}\n{got}"
+        if not checker.check_output(command.expected, got, OUTPUT_FLAGS):
+            return transcript, (
                 f"$ {command.text}\nexpected:\n{command.expected}got:\n{got}"
             )
-    return shown, ""
+    return transcript, ""
 
 
 async def run_walkthroughs(
     *, first: int = 0, last: int = 99, program: list[str] | None = None
 ) -> int:
-    """Carry out the sections in order; return how many were."""
+    """Run the sections in order and return their number."""
     sections = [
         section
-        for section in read_page(PAGE.read_text())
-        # Section 1 starts the entry hosts, which all others need.
+        for section in parse_sections(PAGE.read_text())
+        # Section 1 starts the entry hosts that all other sections need.
         if section.number == 1 or first <= section.number <= last
     ]
     async with fleet.Fleet(hosts=demo.HOSTS, program=program) as running:
@@ -252,7 +255,7 @@
         try:
             await shell.start()
             for section in sections:
-                await carry_out(section, shell=shell, directory=directory)
+                await run_section(section, shell=shell, directory=directory)
             check_logs(running)
         except MismatchError:
             for name in running.hosts:
@@ -265,7 +268,7 @@
 
 
 def check_logs(running: fleet.Fleet) -> None:
-    """Check that logs are JSON and have no secret."""
+    """Check that all log lines are JSON and none has the secret."""
     for name in running.hosts:
         for line in running.log_text(name).splitlines():
             if fleet.SECRET in line:
@@ -273,11 +276,13 @@
             try:
                 json.loads(line)
             except ValueError:
-                raise MismatchError(f"{name} logs no JSON: {line}") from None
+                raise MismatchError(
+                    f"{name} logs a line that is not JSON: {line}"
+                ) from None
 
 
 def _kill_entry_hosts(running: fleet.Fleet) -> None:
-    """End the entry hosts, which the shell has started."""
+    """Kill the entry hosts, which the shell has started."""
     for name in running.hosts:
         path = pathlib.Path(running.directory.name, f"{name}.pid")
         if path.exists():
@@ -286,11 +291,11 @@
 
 
 def main(
-    first: int = typer.Option(0, help="first section to carry out"),
-    last: int = typer.Option(99, help="last section to carry out"),
+    first: int = typer.Option(0, help="first section to run"),
+    last: int = typer.Option(99, help="last section to run"),
     binary: str = typer.Option("", help="samphirelug binary to use"),
 ) -> None:
-    """Carry out the walk-throughs of docs/operators.md on loopback."""
+    """Run the walk-throughs of docs/operators.md on loopback."""
     program = None
     if binary:
         program = [sys.executable, str(pathlib.Path(binary).resolve())]
@@ -299,11 +304,13 @@
             run_walkthroughs(first=first, last=last, program=program)
         )
     except MismatchError as error:
-        typer.echo(f"not as the page says:\n{error}", err=True)
+        typer.echo(
+            f"output differs from docs/operators.md:\n{error}", err=True
+        )
         raise typer.Exit(1) from None
     except KeyboardInterrupt:
         raise typer.Exit(130) from None
-    typer.echo(f"\n{count} walk-throughs went as the page says")
+    typer.echo(f"\n{count} walk-throughs matched docs/operators.md")
 
 
 if __name__ == "__main__":
