--- a/src/samphirelug/components/backend/__init__.py
+++ b/src/samphirelug/components/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Send requests and probes to backend servers."""
+"""Send requests and health probes to backend servers."""
--- a/src/samphirelug/components/backend/client.py
+++ b/src/samphirelug/components/backend/client.py
@@ -1,4 +1,4 @@
-"""Define the interface towards backend servers."""
+"""Define the interface to backend servers."""
 
 import abc
 
@@ -15,13 +15,14 @@
     async def send(
         self, request: model.BackendRequest
     ) -> Result[core.Answer, model.BackendFailure]:
-        """Return the whole answer or why there is none.
+        """Return the complete answer or the reason why there is none.
 
-        Cancelling the call closes the connection, which cancels the work.
+        Cancelling the call closes the connection, which stops the server's
+        work on the request.
         """
 
     @abc.abstractmethod
     async def probe(
         self, server: core.BackendServer, health_path: str, *, timeout_s: float
     ) -> Result[model.HealthReport, model.BackendFailure]:
-        """Ask a server for its health and load."""
+        """Return a server's health and load, or why there is no report."""
--- a/src/samphirelug/components/backend/io_client.py
+++ b/src/samphirelug/components/backend/io_client.py
@@ -23,9 +23,9 @@
 from samphirelug.helpers import http_fields
 from samphirelug.helpers import timer as timer_module
 
-# Set by the client for the connection to the server. Expect is dropped
-# because the body is sent at once.
-REQUEST_OWN = frozenset(
+# Request header fields that the client sets itself. Expect is only dropped, as
+# the body is sent at once.
+REPLACED_REQUEST_FIELDS = frozenset(
     (
         "host",
         "content-length",
@@ -34,13 +34,15 @@
         const.HEADER_REQUEST_ID.lower(),
     )
 )
-# Signals between the server and the entry host only.
-ANSWER_OWN = frozenset((const.HEADER_WORK.lower(), const.HEADER_DRAIN.lower()))
+# Answer header fields for the entry host, which callers do not get.
+INTERNAL_ANSWER_FIELDS = frozenset(
+    (const.HEADER_WORK.lower(), const.HEADER_DRAIN.lower())
+)
 BODY_METHODS = ("POST", "PUT", "PATCH")
-NO_BODY_STATUS = (204, 304)
-# The client counts the body itself, to tell a body that is too large from
-# one that is malformed.
-UNBOUNDED_BODY = 1 << 62
+BODYLESS_STATUSES = (204, 304)
+# The client limits the body itself, to distinguish a body that is too large
+# from a malformed one.
+NO_BODY_LIMIT = 1 << 62
 
 AnswerResult = Result[core.Answer, model.BackendFailure]
 
@@ -57,33 +59,33 @@
 
 
 class CountingStream(iostream.IOStream):
-    """Count the bytes that the kernel took over and gave."""
+    """Count the bytes written to and read from the socket."""
 
     sent_bytes = 0
     received_bytes = 0
 
     def write_to_fd(self, data: memoryview) -> int:
-        """Pass bytes to the kernel and return how many it took."""
-        taken = super().write_to_fd(data)
-        self.sent_bytes += taken
-        return taken
+        """Write to the socket and return the number of bytes written."""
+        written_bytes = super().write_to_fd(data)
+        self.sent_bytes += written_bytes
+        return written_bytes
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Take bytes from the kernel and return how many it had."""
-        given = super().read_from_fd(buf)
-        self.received_bytes += given or 0
-        return given
+        """Read from the socket and return the number of bytes read."""
+        read_bytes = super().read_from_fd(buf)
+        self.received_bytes += read_bytes or 0
+        return read_bytes
 
 
 class AnswerReader(httputil.HTTPMessageDelegate):
-    """Collect one answer and settle how the attempt ended."""
+    """Collect one answer and set the result of the attempt."""
 
     def __init__(
         self, *, request: model.BackendRequest, stream: CountingStream
     ) -> None:
         self.request = request
         self.stream = stream
-        self.done: asyncio.Future[AnswerResult] = (
+        self.result: asyncio.Future[AnswerResult] = (
             asyncio.get_running_loop().create_future()
         )
         self.start_line: httputil.ResponseStartLine | None = None
@@ -97,45 +99,48 @@
         detail: str,
         retry_after_s: float = 0.0,
     ) -> None:
-        """Settle the attempt as failed, unless it is settled."""
-        if not self.done.done():
+        """Set a failure as the result unless there is a result."""
+        if not self.result.done():
             failure = model.BackendFailure(kind, detail, retry_after_s)
-            self.done.set_result(Failure(failure))
+            self.result.set_result(Failure(failure))
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Settle refusals; check that the end of the body can be told."""
+        """Handle refusals; reject answers whose end cannot be detected."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         if start_line.code < 200:
             return
         self.start_line = start_line
         self.headers = headers
-        if start_line.code == 503 and _says_not_run(headers):
+        if start_line.code == 503 and _is_marked_not_run(headers):
             self._refuse(headers)
             return
-        if self.request.method == "HEAD" or start_line.code in NO_BODY_STATUS:
+        if (
+            self.request.method == "HEAD"
+            or start_line.code in BODYLESS_STATUSES
+        ):
             return
         length = headers.get("Content-Length")
         if length is None and "Transfer-Encoding" not in headers:
             self._reject("the answer has no length and is not chunked")
-        if length is not None and _exceeds(
+        if length is not None and _length_exceeds(
             length, self.request.max_answer_bytes
         ):
-            self._reject_size()
+            self._reject_too_large()
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body, within the request's limit."""
+        """Add a part of the body, within the request's limit."""
         self.received_bytes += len(chunk)
         if self.received_bytes > self.request.max_answer_bytes:
-            self._reject_size()
+            self._reject_too_large()
         self.chunks.append(chunk)
 
     def finish(self) -> None:
-        """Settle the attempt with the whole answer."""
-        if self.done.done():
+        """Set the complete answer as the result."""
+        if self.result.done():
             return
         assert self.start_line is not None
         assert self.headers is not None
@@ -149,14 +154,14 @@
             body=b"".join(self.chunks),
             server=self.request.server.name,
         )
-        self.done.set_result(Success(answer))
+        self.result.set_result(Success(answer))
 
     def on_connection_close(self) -> None:
-        """Settle the attempt as failed when the connection ended early."""
-        self.closed("the answer is malformed")
+        """Set a failure if the connection ended before the answer."""
+        self.fail_by_progress("the answer is malformed")
 
-    def closed(self, detail: str) -> None:
-        """Settle by what was sent and received before the end."""
+    def fail_by_progress(self, detail: str) -> None:
+        """Set the failure that follows from what was sent and received."""
         if self.stream.sent_bytes == 0:
             self.fail(model.FailureKind.NOT_SENT, detail)
         elif self.start_line is not None:
@@ -164,12 +169,14 @@
         else:
             self.fail(model.FailureKind.RESET, detail)
 
-    def read_ended(self, reader: "asyncio.Future[bool]") -> None:
-        """Settle the attempt when reading has ended without an answer."""
-        if reader.cancelled():
+    def on_read_done(self, reading: "asyncio.Future[bool]") -> None:
+        """Set a failure if reading ended without a result."""
+        if reading.cancelled():
             return
-        error = reader.exception()
-        self.closed(str(error) if error else "the answer is malformed")
+        error = reading.exception()
+        self.fail_by_progress(
+            str(error) if error else "the answer is malformed"
+        )
 
     def _refuse(self, headers: httputil.HTTPHeaders) -> None:
         leaving = const.HEADER_DRAIN in headers
@@ -183,14 +190,14 @@
         self.fail(model.FailureKind.INCOMPLETE, detail)
         raise httputil.HTTPInputError(detail)
 
-    def _reject_size(self) -> None:
+    def _reject_too_large(self) -> None:
         detail = f"the answer exceeds {self.request.max_answer_bytes} bytes"
         self.fail(model.FailureKind.TOO_LARGE, detail)
         raise httputil.HTTPInputError(detail)
 
 
 class HttpBackendClient(client.BackendClient):
-    """Open a connection for each request and close it afterwards."""
+    """Send each request over a connection of its own."""
 
     def __init__(
         self,
@@ -202,9 +209,10 @@
         self.connect_timeout_s = connect_timeout_s
 
     async def send(self, request: model.BackendRequest) -> AnswerResult:
-        """Return the whole answer or why there is none.
+        """Return the complete answer or the reason why there is none.
 
-        Cancelling the call closes the connection, which cancels the work.
+        Cancelling the call closes the connection, which stops the server's
+        work on the request.
         """
         try:
             stream = _open_stream(request.server.address)
@@ -224,7 +232,7 @@
     async def probe(
         self, server: core.BackendServer, health_path: str, *, timeout_s: float
     ) -> Result[model.HealthReport, model.BackendFailure]:
-        """Ask a server for its health and load."""
+        """Return a server's health and load, or why there is no report."""
         request = model.BackendRequest(
             request_id="health-probe",
             server=server,
@@ -236,14 +244,16 @@
             max_answer_bytes=backend_const.MAX_PROBE_ANSWER_BYTES,
         )
         result = await self.send(request)
-        return result.bind(_read_health)
+        return result.bind(_parse_health)
 
     async def _connect(
         self, stream: CountingStream, request: model.BackendRequest
     ) -> model.BackendFailure | None:
         now = self.timer.monotonic()
-        limit_s = min(request.deadline_at_s, now + self.connect_timeout_s)
-        timeout = self.timer.call_at(when_s=limit_s, callback=stream.close)
+        timeout_at_s = min(request.deadline_at_s, now + self.connect_timeout_s)
+        timeout = self.timer.call_at(
+            when_s=timeout_at_s, callback=stream.close
+        )
         try:
             await stream.connect(_split_address(request.server.address))
         except (OSError, iostream.StreamClosedError) as error:
@@ -258,44 +268,46 @@
     async def _exchange(
         self, stream: CountingStream, request: model.BackendRequest
     ) -> AnswerResult:
-        # The process may have been paused while connecting. There is no
-        # await between this check and the write.
-        left_s = request.deadline_at_s - self.timer.monotonic()
-        if left_s <= 0.0:
+        # The deadline may have passed while the process was paused. There is
+        # no await between this check and the write.
+        remaining_s = request.deadline_at_s - self.timer.monotonic()
+        if remaining_s <= 0.0:
             return _not_sent("the deadline passed before sending")
         stream.set_nodelay(True)
-        answer = AnswerReader(request=request, stream=stream)
+        answer_reader = AnswerReader(request=request, stream=stream)
         connection = http1connection.HTTP1Connection(
             stream,
             True,
             http1connection.HTTP1ConnectionParameters(
                 no_keep_alive=True,
                 max_header_size=const.MAX_HEADER_BYTES,
-                max_body_size=UNBOUNDED_BODY,
+                max_body_size=NO_BODY_LIMIT,
             ),
         )
         try:
             start_line = httputil.RequestStartLine(
                 request.method, request.target, "HTTP/1.1"
             )
-            headers = _request_headers(request, left_s)
+            headers = _request_headers(request, remaining_s)
             written = connection.write_headers(
                 start_line, headers, request.body
             )
         except (ValueError, httputil.HTTPInputError) as error:
             return _not_sent(f"the request cannot be encoded: {error}")
-        written.add_done_callback(_ignore_error)
+        written.add_done_callback(_suppress_write_error)
         connection.finish()
         deadline = self.timer.call_at(
             when_s=request.deadline_at_s,
-            callback=lambda: answer.fail(
+            callback=lambda: answer_reader.fail(
                 model.FailureKind.TIMEOUT, "no whole answer in time"
             ),
         )
-        reader = asyncio.ensure_future(connection.read_response(answer))
-        reader.add_done_callback(answer.read_ended)
+        reading = asyncio.ensure_future(
+            connection.read_response(answer_reader)
+        )
+        reading.add_done_callback(answer_reader.on_read_done)
         try:
-            return await answer.done
+            return await answer_reader.result
         finally:
             deadline.cancel()
 
@@ -303,23 +315,23 @@
 def answer_headers(
     headers: httputil.HTTPHeaders, *, keep_length: bool
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers of an answer that the caller may see."""
-    dropped = ANSWER_OWN
+    """Return the header fields of an answer to pass to the caller."""
+    dropped = INTERNAL_ANSWER_FIELDS
     if not keep_length:
         dropped = dropped | {"content-length"}
     return http_fields.forwarded(headers.get_all(), dropped=dropped)
 
 
 def _request_headers(
-    request: model.BackendRequest, left_s: float
+    request: model.BackendRequest, remaining_s: float
 ) -> httputil.HTTPHeaders:
     headers = httputil.HTTPHeaders()
     headers["Host"] = request.server.address
     headers["Connection"] = "close"
-    headers[const.HEADER_DEADLINE_MS] = str(max(1, int(left_s * 1000)))
+    headers[const.HEADER_DEADLINE_MS] = str(max(1, int(remaining_s * 1000)))
     headers[const.HEADER_REQUEST_ID] = request.request_id
     for name, value in http_fields.forwarded(
-        request.headers, dropped=REQUEST_OWN
+        request.headers, dropped=REPLACED_REQUEST_FIELDS
     ):
         headers.add(name, value)
     if request.body or request.method in BODY_METHODS:
@@ -342,13 +354,13 @@
     return Failure(model.BackendFailure(model.FailureKind.NOT_SENT, detail))
 
 
-def _says_not_run(headers: httputil.HTTPHeaders) -> bool:
+def _is_marked_not_run(headers: httputil.HTTPHeaders) -> bool:
     value: str = headers.get(const.HEADER_WORK, "")
     return value.strip().lower() == const.WORK_NOT_RUN
 
 
-def _exceeds(length: str, limit: int) -> bool:
-    # A malformed length is rejected by the connection.
+def _length_exceeds(length: str, limit: int) -> bool:
+    # HTTP1Connection rejects a malformed length.
     return length.isdigit() and int(length) > limit
 
 
@@ -356,13 +368,13 @@
     return float(value) if value.isdigit() and len(value) < 6 else 0.0
 
 
-def _ignore_error(written: "asyncio.Future[None]") -> None:
-    # The reader reports the end of the connection.
+def _suppress_write_error(written: "asyncio.Future[None]") -> None:
+    # The read from the connection reports the error.
     if not written.cancelled():
         written.exception()
 
 
-def _read_health(
+def _parse_health(
     answer: core.Answer,
 ) -> Result[model.HealthReport, model.BackendFailure]:
     if answer.status != 200:
--- a/src/samphirelug/components/backend/model.py
+++ b/src/samphirelug/components/backend/model.py
@@ -1,4 +1,4 @@
-"""Define requests to backend servers and how they can fail."""
+"""Define requests to backend servers and their failures."""
 
 import enum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Traffic:
-    """Count the bytes of one attempt, headers and framing included."""
+    """Count the bytes of one attempt, including headers and framing."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
@@ -24,30 +24,30 @@
     target: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    # On the entry host's own monotonic clock.
+    # On the entry host's monotonic clock.
     deadline_at_s: float
     max_answer_bytes: int
-    # Filled in by the client when the attempt has ended.
+    # Set by the client when the attempt has ended.
     traffic: Traffic | None = None
 
 
 class FailureKind(enum.StrEnum):
-    """Tell failed attempts apart by what the server may have done."""
+    """Classify failed attempts by what the server may have done."""
 
     # No byte of the request can have reached the server.
     NOT_SENT = "not_sent"
-    # The server itself said that it did not run the request.
+    # The server answered that it did not run the request.
     REFUSED = "refused"
-    # The server said so because it is leaving.
+    # The server answered so because it is leaving.
     LEAVING = "leaving"
-    # Another incarnation has the address, and did not run the request.
+    # Another incarnation listens at the address; it did not run the request.
     MISDIRECTED = "misdirected"
-    # The server may have run the request.
+    # The server may have run the request in the next four cases.
     TIMEOUT = "timeout"
     RESET = "reset"
     INCOMPLETE = "incomplete"
     TOO_LARGE = "too_large"
-    # The caller left, which says nothing about the server.
+    # The caller disconnected, which says nothing about the server.
     CANCELLED = "cancelled"
 
     @property
@@ -74,6 +74,6 @@
 
     server: str
     leaving: bool
-    # Fraction of the server's capacity in use, by its own word.
+    # Fraction of the server's capacity in use, 0.0 to 1.0, as it reports.
     load: float
     server_incarnation: str
--- a/src/samphirelug/components/backend/ports.py
+++ b/src/samphirelug/components/backend/ports.py
@@ -1,4 +1,4 @@
-"""Define what the traffic to backend servers needs of other parts."""
+"""Define interfaces to the catalogue and to health tracking."""
 
 from typing import Protocol
 
@@ -7,7 +7,7 @@
 
 
 class Catalogue(Protocol):
-    """Give the catalogue that is in force."""
+    """Provide the catalogue in force."""
 
     @property
     def view(self) -> catalogue_view.CatalogueView:
@@ -15,14 +15,14 @@
 
     @property
     def position(self) -> int:
-        """Return the store revision reached; 0 before the first."""
+        """Return the store revision of the view, 0 before the first."""
 
 
 class Health(Protocol):
-    """Take observations of attempts, by server name."""
+    """Track the health of servers from attempts, by server name."""
 
     def attempt_started(self, server: str) -> None:
-        """Note that an attempt has started."""
+        """Record that an attempt has started."""
 
     def attempt_ended(
         self,
@@ -31,17 +31,17 @@
         latency_s: float,
         failure: model.FailureKind | None,
     ) -> None:
-        """Note how an attempt has ended; None means with an answer."""
+        """Record how an attempt ended; failure is None for an answer."""
 
 
 class ProbedHealth(Protocol):
-    """Take observations of health probes, by server name."""
+    """Track the health of servers from probes, by server name."""
 
     def servers_due_for_probe(self) -> tuple[str, ...]:
-        """Return the servers that a good probe would bring back."""
+        """Return the failed servers that are due for a probe."""
 
     def probe_failed(self, server: str, *, not_sent: bool) -> None:
         """Record a failed probe; not_sent if no byte was sent."""
 
     def apply_report(self, report: model.HealthReport) -> None:
-        """Take a server's own report."""
+        """Apply a server's answer to a health probe."""
--- a/src/samphirelug/components/backend/prober.py
+++ b/src/samphirelug/components/backend/prober.py
@@ -1,4 +1,4 @@
-"""Ask backend servers for their health at regular intervals."""
+"""Probe the health of backend servers at regular intervals."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class HealthProber:
-    """Probe each server once an interval, and needed ones more often."""
+    """Probe each server once per interval, and failed ones more often."""
 
     def __init__(
         self,
@@ -40,64 +40,65 @@
         self.rng = rng
         self.servers = servers
         self.interval_s = interval_s
-        # One probe of a server at a time, also when it answers slowly.
+        # At most one probe of a server runs at a time, even if it is slow.
         self.running: dict[str, asyncio.Task[None]] = {}
-        self.waiting: dict[str, timer_module.Subscription] = {}
+        self.scheduled: dict[str, timer_module.Subscription] = {}
         self.subscriptions: list[timer_module.Subscription] = []
 
     def start(self) -> None:
-        """Begin to probe; needs a running event loop."""
+        """Start probing; requires a running event loop."""
         for interval_s, callback in (
-            (self.interval_s, self.schedule),
-            (const.NEEDED_PROBE_INTERVAL_S, self.schedule_needed),
+            (self.interval_s, self.schedule_all),
+            (const.RECOVERY_PROBE_INTERVAL_S, self.schedule_recovery),
         ):
             self.subscriptions.append(
                 self.timer.subscribe(interval_s=interval_s, callback=callback)
             )
-        self.schedule()
+        self.schedule_all()
 
     def stop(self) -> None:
-        """End all probes."""
+        """Cancel all probes."""
         for subscription in self.subscriptions:
             subscription.cancel()
-        for waiting in self.waiting.values():
-            waiting.cancel()
+        for scheduled in self.scheduled.values():
+            scheduled.cancel()
         for task in self.running.values():
             task.cancel()
-        self.waiting.clear()
+        self.scheduled.clear()
 
-    def schedule(self) -> None:
-        """Place one probe of each server at random in the next interval."""
+    def schedule_all(self) -> None:
+        """Schedule a probe of each server, at random within the interval."""
         for server in self.servers():
-            if server.name not in self.waiting:
-                self._place(server, self.interval_s)
+            if server.name not in self.scheduled:
+                self._schedule(server, self.interval_s)
 
-    def schedule_needed(self) -> None:
-        """Probe soon what a good probe would bring back into use."""
-        needed = frozenset(self.health.servers_due_for_probe())
-        if not needed:
+    def schedule_recovery(self) -> None:
+        """Schedule earlier probes of the servers that are due for one."""
+        due = frozenset(self.health.servers_due_for_probe())
+        if not due:
             return
         for server in self.servers():
-            if server.name in needed:
-                self._place(server, const.NEEDED_PROBE_INTERVAL_S)
+            if server.name in due:
+                self._schedule(server, const.RECOVERY_PROBE_INTERVAL_S)
 
-    def _place(self, server: core.BackendServer, within_s: float) -> None:
+    def _schedule(self, server: core.BackendServer, within_s: float) -> None:
         if server.name in self.running:
             return
-        waiting = self.waiting.pop(server.name, None)
-        if waiting is not None:
-            waiting.cancel()
+        scheduled = self.scheduled.pop(server.name, None)
+        if scheduled is not None:
+            scheduled.cancel()
         when_s = self.timer.monotonic() + self.rng.uniform(0.0, within_s)
-        self.waiting[server.name] = self.timer.call_at(
-            when_s=when_s, callback=functools.partial(self._launch, server)
+        self.scheduled[server.name] = self.timer.call_at(
+            when_s=when_s,
+            callback=functools.partial(self._start_probe, server),
         )
 
-    def _launch(self, server: core.BackendServer) -> None:
-        self.waiting.pop(server.name, None)
+    def _start_probe(self, server: core.BackendServer) -> None:
+        self.scheduled.pop(server.name, None)
         self.running[server.name] = asyncio.create_task(self.probe(server))
 
     async def probe(self, server: core.BackendServer) -> None:
-        """Probe a server and report what it said or how it failed."""
+        """Probe a server and report its answer or failure."""
         try:
             service = self.catalogue.view.services.get(server.service)
             if service is None:
@@ -115,7 +116,7 @@
                     model.HealthReport(server.name, True, 1.0, "")
                 )
             elif failure.kind is not model.FailureKind.REFUSED:
-                # A server that refuses is at work, though busy.
+                # A server that refuses the probe is running but busy.
                 self.health.probe_failed(
                     server.name,
                     not_sent=failure.kind is model.FailureKind.NOT_SENT,
--- a/tests/components/backend/raw_server.py
+++ b/tests/components/backend/raw_server.py
@@ -1,4 +1,4 @@
-"""Answer connections with scripted bytes on a loopback port."""
+"""Serve connections on a loopback port with scripted bytes."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,7 +15,7 @@
 
 
 class RawConnection:
-    """Hold one accepted connection and what was seen on it."""
+    """Hold one accepted connection and what was received and sent."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -38,7 +38,7 @@
         self.sent_bytes += len(data)
 
     async def wait_closed_by_peer(self) -> None:
-        """Return when the client has closed the connection."""
+        """Wait until the client has closed the connection."""
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(65536):
                 pass
@@ -53,7 +53,7 @@
 
 
 class RawServer:
-    """Run a script for each connection and keep what was seen."""
+    """Run a script for each connection and record the connections."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -76,8 +76,8 @@
             writer.close()
             self.ended.set()
 
-    def backend(self) -> core.BackendServer:
-        """Return the server as the catalogue would name it."""
+    def backend_server(self) -> core.BackendServer:
+        """Return the backend server that listens on this port."""
         return make_server(self.port)
 
 
@@ -97,7 +97,7 @@
     body: bytes = b"claim",
     headers: tuple[tuple[str, str], ...] = (),
 ) -> model.BackendRequest:
-    """Return a request with an answer limit of 1000 bytes."""
+    """Return a request that limits the answer to 1000 bytes."""
     return model.BackendRequest(
         request_id="r1",
         server=server,
@@ -112,7 +112,7 @@
 
 @contextlib.asynccontextmanager
 async def running(script: Script) -> AsyncIterator[RawServer]:
-    """Run a raw server for the length of a block."""
+    """Run a raw server during a with block."""
     server = RawServer(script)
     listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
     server.port = listener.sockets[0].getsockname()[1]
--- a/tests/components/backend/test_io_client.py
+++ b/tests/components/backend/test_io_client.py
@@ -1,4 +1,4 @@
-"""Guard against wrong claims about what a backend server has done."""
+"""Test how the client reports attempts at backend servers."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -21,14 +21,14 @@
 )
 
 
-class SteppingTimer(timer.LoopTimerService):
-    """Report a clock that jumps ahead, as after a paused process."""
+class JumpingTimer(timer.LoopTimerService):
+    """Provide a clock that jumps ahead, as after a paused process."""
 
     def __init__(self, *, jump_after_calls: int) -> None:
         self.calls_left = jump_after_calls
 
     def monotonic(self) -> float:
-        """Return the time, an hour ahead after some calls."""
+        """Return the time, an hour ahead once the calls are used up."""
         self.calls_left -= 1
         return super().monotonic() + (3600.0 if self.calls_left < 0 else 0.0)
 
@@ -36,7 +36,7 @@
 async def send(
     port: int,
     *,
-    limit_s: float = 5.0,
+    timeout_s: float = 5.0,
     method: str = "POST",
     body: bytes = b"claim",
     headers: tuple[tuple[str, str], ...] = (),
@@ -50,7 +50,7 @@
     )
     request = raw_server.make_request(
         raw_server.make_server(port),
-        deadline_at_s=timer.LoopTimerService().monotonic() + limit_s,
+        deadline_at_s=timer.LoopTimerService().monotonic() + timeout_s,
         method=method,
         body=body,
         headers=headers,
@@ -58,7 +58,7 @@
     return await client.send(request)
 
 
-def free_port() -> int:
+def unused_port() -> int:
     """Return a loopback port that nothing listens on."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
@@ -71,7 +71,7 @@
 
 
 async def reset_after_reading(connection: raw_server.RawConnection) -> None:
-    """Reset the connection once the header block was read."""
+    """Read the header block and reset the connection."""
     await connection.read_head()
     connection.reset()
 
@@ -83,14 +83,14 @@
 
 
 async def answer_late(connection: raw_server.RawConnection) -> None:
-    """Send the answer after the deadline of the test."""
+    """Send the end of the answer after the deadline of the test."""
     await connection.read_head()
     await connection.write(OK_HEAD + b"Content-Length: 4\r\n\r\nla")
     await asyncio.sleep(0.4)
     await connection.write(b"te")
 
 
-async def stream_without_end(connection: raw_server.RawConnection) -> None:
+async def stream_endlessly(connection: raw_server.RawConnection) -> None:
     """Send chunks until the client closes the connection."""
     await connection.read_head()
     await connection.write(OK_HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
@@ -140,7 +140,7 @@
         raw_server.scripted(OK_HEAD + b"Content-Length: 1001\r\n\r\n"),
         FailureKind.TOO_LARGE,
     ),
-    (stream_without_end, FailureKind.TOO_LARGE),
+    (stream_endlessly, FailureKind.TOO_LARGE),
     (stall, FailureKind.TIMEOUT),
     (answer_late, FailureKind.TIMEOUT),
     (
@@ -156,28 +156,32 @@
 
 @pytest.mark.parametrize(("script", "kind"), FAILURES)
 def test_failure_kind(script: raw_server.Script, kind: FailureKind) -> None:
-    """Guard against "not run" after sending and incomplete answers."""
+    """Guard against wrong claims about what a server has done.
+
+    A request that was sent must not be reported as not run, nor an incomplete
+    answer as complete.
+    """
 
     async def scenario() -> None:
         async with raw_server.running(script) as server:
-            result = await send(server.port, limit_s=0.3)
+            result = await send(server.port, timeout_s=0.3)
             assert result.failure().kind is kind
             if kind is FailureKind.REFUSED:
                 assert result.failure().retry_after_s == 7.0
-            # The connection is closed, so the server can stop its work.
+            # The client closes the connection, so the server can stop working.
             await asyncio.wait_for(server.ended.wait(), 5.0)
             assert server.connections[0].sent_bytes < 8_000_000
 
     asyncio.run(scenario())
 
 
-async def refuse_connection() -> io_client.AnswerResult:
+async def connect_to_unused_port() -> io_client.AnswerResult:
     """Send to a port that nothing listens on."""
-    return await send(free_port())
+    return await send(unused_port())
 
 
-async def find_backlog_full() -> io_client.AnswerResult:
-    """Send to a port whose connections are not accepted."""
+async def connect_with_full_backlog() -> io_client.AnswerResult:
+    """Send to a port whose accept backlog is full."""
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -189,10 +193,10 @@
         return await send(port, connect_timeout_s=0.2)
 
 
-async def pause_while_connecting() -> io_client.AnswerResult:
-    """Find the deadline passed once the connection is open."""
+async def pause_after_connecting() -> io_client.AnswerResult:
+    """Let the deadline pass between connecting and sending."""
     async with raw_server.running(stall) as server:
-        clock = SteppingTimer(jump_after_calls=2)
+        clock = JumpingTimer(jump_after_calls=2)
         result = await send(server.port, clock=clock)
         await asyncio.wait_for(server.ended.wait(), 5.0)
         assert server.connections[0].head == b""
@@ -208,13 +212,13 @@
 @pytest.mark.parametrize(
     "case",
     [
-        refuse_connection,
-        find_backlog_full,
-        pause_while_connecting,
+        connect_to_unused_port,
+        connect_with_full_backlog,
+        pause_after_connecting,
         send_line_break_in_header,
     ],
 )
-def test_not_sent(
+def test_failures_before_sending(
     case: Callable[[], Awaitable[io_client.AnswerResult]],
 ) -> None:
     """Guard against "outcome unknown" where no byte was sent."""
@@ -255,10 +259,10 @@
         ),
     ],
 )
-def test_whole_answer(
+def test_complete_answer(
     answer: bytes, status: int, body: bytes, method: str
 ) -> None:
-    """Guard against refusing answers whose end is known."""
+    """Guard against rejecting answers whose end can be detected."""
 
     async def scenario() -> None:
         async with raw_server.running(raw_server.scripted(answer)) as server:
@@ -286,8 +290,8 @@
     asyncio.run(scenario())
 
 
-def test_headers() -> None:
-    """Guard against hop-by-hop headers that pass either way."""
+def test_header_fields_of_a_connection_are_not_forwarded() -> None:
+    """Guard against forwarding hop-by-hop header fields either way."""
     answer = (
         OK_HEAD + b"Connection: close, X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\n"
         b"Keep-Alive: 5\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n"
@@ -308,7 +312,7 @@
 
     async def scenario() -> None:
         async with raw_server.running(raw_server.scripted(answer)) as server:
-            result = await send(server.port, limit_s=2.0, headers=headers)
+            result = await send(server.port, timeout_s=2.0, headers=headers)
             assert result.unwrap().headers == (
                 ("X-End", "2"),
                 ("Set-Cookie", "a"),
@@ -331,7 +335,7 @@
 
 
 def test_cancellation_closes_connection() -> None:
-    """Guard against a server that works on for a caller that left."""
+    """Guard against a server that works for a disconnected caller."""
 
     async def scenario() -> None:
         async with raw_server.running(stall) as server:
@@ -361,7 +365,7 @@
 def test_probe(
     body: bytes, expected: Success[model.HealthReport] | None
 ) -> None:
-    """Guard against malformed health answers taken for reports."""
+    """Guard against accepting malformed health answers as reports."""
     answer = OK_HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
     async def scenario() -> None:
@@ -370,7 +374,7 @@
                 timer=timer.LoopTimerService()
             )
             result = await client.probe(
-                server.backend(), "/health", timeout_s=2.0
+                server.backend_server(), "/health", timeout_s=2.0
             )
         if expected is None:
             assert result.failure().kind is FailureKind.INCOMPLETE
@@ -380,8 +384,8 @@
     asyncio.run(scenario())
 
 
-def test_whole_traffic_is_counted() -> None:
-    """Guard against header blocks and framing that no link unit pays for."""
+def test_headers_and_framing_count_as_traffic() -> None:
+    """Guard against traffic that is not charged to the link's quota."""
     answer = OK_HEAD + b"Content-Length: 2\r\n\r\nok"
     traffic = model.Traffic()
 
@@ -391,7 +395,8 @@
                 timer=timer.LoopTimerService()
             )
             request = raw_server.make_request(
-                server.backend(), deadline_at_s=client.timer.monotonic() + 5.0
+                server.backend_server(),
+                deadline_at_s=client.timer.monotonic() + 5.0,
             )
             await client.send(request._replace(traffic=traffic))
 
--- a/tests/components/backend/test_prober.py
+++ b/tests/components/backend/test_prober.py
@@ -1,4 +1,4 @@
-"""Guard against missing, bunched and unreported health probes."""
+"""Test the times and reports of health probes."""
 
 import asyncio
 import random
@@ -15,11 +15,13 @@
 from samphirelug.helpers import timer
 from standins import builders
 
-PROBED = model.BackendFailure(model.FailureKind.NOT_SENT, "refused")
+CONNECTION_REFUSED = model.BackendFailure(
+    model.FailureKind.NOT_SENT, "refused"
+)
 
 
 class FakeCatalogue:
-    """Hold the small view."""
+    """Hold the small catalogue."""
 
     def __init__(self) -> None:
         self.view: catalogue_view.CatalogueView = builders.make_view()
@@ -27,60 +29,60 @@
 
 
 class FakeHealth:
-    """Keep what was reported."""
+    """Record the reports and failures of probes."""
 
     def __init__(self) -> None:
         self.reports: list[str] = []
         self.failures: list[tuple[str, bool]] = []
-        self.needed: tuple[str, ...] = ()
+        self.due: tuple[str, ...] = ()
         self.leaving: list[str] = []
 
     def servers_due_for_probe(self) -> tuple[str, ...]:
-        """Return what the test needs."""
-        return self.needed
+        """Return the servers that the test has set."""
+        return self.due
 
     def probe_failed(self, server: str, *, not_sent: bool) -> None:
-        """Keep a failure."""
+        """Record a failed probe."""
         self.failures.append((server, not_sent))
 
     def apply_report(self, report: model.HealthReport) -> None:
-        """Keep a report."""
+        """Record a report."""
         self.reports.append(report.server)
         if report.leaving:
             self.leaving.append(report.server)
 
 
 class FakeClient(client.BackendClient):
-    """Answer probes, except those of servers that are dead or silent."""
+    """Answer probes; one server may fail, one may never answer."""
 
     def __init__(self, clock: timer.TimerService) -> None:
         self.clock = clock
         self.times: list[tuple[str, float]] = []
-        self.dead = ""
+        self.failing = ""
         self.silent = ""
-        self.failure = PROBED
+        self.failure = CONNECTION_REFUSED
 
     async def send(
         self, request: model.BackendRequest
     ) -> Result[core.Answer, model.BackendFailure]:
-        """Fail, since the prober sends no requests."""
+        """Fail, as the prober sends no requests."""
         raise NotImplementedError(request)
 
     async def probe(
         self, server: core.BackendServer, health_path: str, *, timeout_s: float
     ) -> Result[model.HealthReport, model.BackendFailure]:
-        """Answer as the server would."""
+        """Return a report, a failure or nothing, depending on the server."""
         assert (health_path, timeout_s) == ("/health", 1.0)
         self.times.append((server.name, self.clock.monotonic()))
         if server.name == self.silent:
             await asyncio.Event().wait()
-        if server.name == self.dead:
+        if server.name == self.failing:
             return Failure(self.failure)
         return Success(model.HealthReport(server.name, False, 0.0, "i1"))
 
 
 def test_probes_are_spread_and_reported() -> None:
-    """Guard against probes at the same moment, or piled up, or lost."""
+    """Guard against simultaneous, overlapping and unreported probes."""
 
     async def scenario() -> None:
         clock = timer.ManualTimerService()
@@ -88,7 +90,7 @@
         backend = FakeClient(clock)
         health = FakeHealth()
         servers = list(catalogue.view.servers.values())
-        backend.dead = servers[0].name
+        backend.failing = servers[0].name
         backend.silent = servers[1].name
         probing = prober.HealthProber(
             catalogue=catalogue,
@@ -112,22 +114,22 @@
             )
         assert probed.count(backend.silent) == 1
         # A server is scheduled again at the next interval's start.
-        assert probed.count(backend.dead) >= 10
-        failures = [(backend.dead, True)]
-        assert health.failures == failures * probed.count(backend.dead)
-        per_tenth: dict[float, int] = {}
+        assert probed.count(backend.failing) >= 10
+        failures = [(backend.failing, True)]
+        assert health.failures == failures * probed.count(backend.failing)
+        probes_per_tenth: dict[float, int] = {}
         for _, at_s in backend.times:
             key = round(at_s, 1)
-            per_tenth[key] = per_tenth.get(key, 0) + 1
-        assert max(per_tenth.values()) <= len(servers) // 2
+            probes_per_tenth[key] = probes_per_tenth.get(key, 0) + 1
+        assert max(probes_per_tenth.values()) <= len(servers) // 2
         clock.advance(5.0)
         assert len(backend.times) == len(probed)
 
     asyncio.run(scenario())
 
 
-def test_needed_server_is_probed_sooner_than_others() -> None:
-    """Guard against a server that is back and waits for a slow interval."""
+def test_failed_server_is_probed_more_often() -> None:
+    """Guard against late detection that a failed server has recovered."""
 
     async def scenario() -> None:
         clock = timer.ManualTimerService()
@@ -144,7 +146,7 @@
             servers=lambda: servers,
         )
         probing.start()
-        health.needed = (servers[0].name, "unknown")
+        health.due = (servers[0].name, "unknown")
         for _ in range(200):
             clock.advance(0.05)
             for _ in range(3):
@@ -155,8 +157,8 @@
         ]
         assert counts[0] >= 30
         assert max(counts[1:]) <= 11
-        backend.dead = servers[1].name
-        # Refusing for a moment is no fault; leaving is a signal.
+        backend.failing = servers[1].name
+        # A refused probe is not a failure; leaving is reported.
         for kind in (model.FailureKind.REFUSED, model.FailureKind.LEAVING):
             backend.failure = model.BackendFailure(kind, "busy")
             await probing.probe(servers[1])
