--- a/src/samphirelug/components/backend/io_client.py
+++ b/src/samphirelug/components/backend/io_client.py
@@ -268,8 +268,8 @@
     async def _exchange(
         self, stream: CountingStream, request: model.BackendRequest
     ) -> AnswerResult:
-        # The deadline may have passed while the process was paused. There is
-        # no await between this check and the write.
+        # The process may have been paused past the deadline while connecting.
+        # There is no await between this check and the write.
         remaining_s = request.deadline_at_s - self.timer.monotonic()
         if remaining_s <= 0.0:
             return _not_sent("the deadline passed before sending")
--- a/src/samphirelug/components/http/const.py
+++ b/src/samphirelug/components/http/const.py
@@ -9,7 +9,7 @@
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 # An idle connection is closed this long before the server would close it.
 KEEP_ALIVE_MARGIN_S = 1.0
-# Used if the server's Keep-Alive header field sends no timeout.
+# Used if the server sends no timeout in a Keep-Alive header field.
 DEFAULT_KEEP_ALIVE_S = 2.0
 # A request that is not idempotent only uses a connection that was idle for at
 # most this long. If the server has closed the connection and the close has
--- a/src/samphirelug/components/http/request_parser.py
+++ b/src/samphirelug/components/http/request_parser.py
@@ -46,9 +46,9 @@
         self.limits = limits
         self.timer = timer
         self.parser = httptools.HttpRequestParser(self)
-        # With whether the connection stays open after the response.
+        # Each with whether the connection stays open after the response.
         self.completed: list[tuple[CallerMessage, bool]] = []
-        # The caller waits for "100 Continue" before it sends the body.
+        # Set while the caller waits for "100 Continue" to send the body.
         self.expects_continue = False
         # Set while a request is only partly received.
         self.started_at_s: float | None = None
--- a/tests/components/backend/test_io_client.py
+++ b/tests/components/backend/test_io_client.py
@@ -321,8 +321,8 @@
             lines = server.connections[0].head.decode().splitlines()
         assert lines[0] == "POST /claims?x=1 HTTP/1.1"
         sent = dict(line.split(": ", 1) for line in lines[1:] if line)
-        left_ms = int(sent.pop("Samphirelug-Deadline-Ms"))
-        assert 1000 < left_ms <= 2000
+        remaining_ms = int(sent.pop("Samphirelug-Deadline-Ms"))
+        assert 1000 < remaining_ms <= 2000
         assert sent.pop("Host").startswith("127.0.0.1:")
         assert sent == {
             "Connection": "close",
--- a/tests/components/http/test_io_pool.py
+++ b/tests/components/http/test_io_pool.py
@@ -59,8 +59,8 @@
     server = ScriptedServer(serve)
 
     async def main() -> None:
-        listening = await asyncio.start_server(server.accept, "127.0.0.1", 0)
-        port = listening.sockets[0].getsockname()[1]
+        listener = await asyncio.start_server(server.accept, "127.0.0.1", 0)
+        port = listener.sockets[0].getsockname()[1]
         timer = timer_helper.LoopTimerService()
         sender = io_pool.PooledSender(timer=timer, names=build.NAMES)
 
@@ -76,7 +76,7 @@
 
         await scenario(sender, attempt, server)
         sender.forget(attempt().server)
-        listening.close()
+        listener.close()
 
     asyncio.run(asyncio.wait_for(main(), 20))
     return server
@@ -129,7 +129,7 @@
 
 
 def test_answer_to_another_request_is_not_returned_for_the_next() -> None:
-    """Guard against a second answer that stays in the connection.
+    """Guard against an answer that is left unread on the connection.
 
     A reused connection would return it as the answer to the next request.
     """
@@ -315,8 +315,8 @@
 
     run(serve, scenario)
     assert b"x-expected-instance: s0\r\n" in seen[0]
-    left_ms = int(seen[0].split(b"x-deadline-ms: ")[1].split(b"\r\n")[0])
-    assert 400 <= left_ms <= 500
+    remaining_ms = int(seen[0].split(b"x-deadline-ms: ")[1].split(b"\r\n")[0])
+    assert 400 <= remaining_ms <= 500
 
 
 def test_refused_connection_is_classified_as_not_sent() -> None:
