--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -245,7 +245,7 @@
             metrics=self.metrics,
             lag=self.lag,
             timer_service=self.timer,
-            refusing=self.new_work_refusal,
+            host_refusal=self.host_refusal,
         )
         self.status = status.StatusReport(entry_host=self)
         with self._reporting_bind_error(
@@ -351,7 +351,7 @@
             if server.zone.region == region
         ]
 
-    def new_work_refusal(self) -> result_codes.Refusal | None:
+    def host_refusal(self) -> result_codes.Refusal | None:
         """Return why this entry host refuses all new work, None if not."""
         if self.refusing_new_work:
             return result_codes.Refusal(
