--- a/src/samphirelug/components/backend/io_client.py
+++ b/src/samphirelug/components/backend/io_client.py
@@ -319,7 +319,7 @@
     dropped = INTERNAL_ANSWER_FIELDS
     if not keep_length:
         dropped = dropped | {"content-length"}
-    return http_fields.forwarded(headers.get_all(), dropped=dropped)
+    return http_fields.end_to_end_fields(headers.get_all(), dropped=dropped)
 
 
 def _request_headers(
@@ -330,7 +330,7 @@
     headers["Connection"] = "close"
     headers[const.HEADER_DEADLINE_MS] = str(max(1, int(remaining_s * 1000)))
     headers[const.HEADER_REQUEST_ID] = request.request_id
-    for name, value in http_fields.forwarded(
+    for name, value in http_fields.end_to_end_fields(
         request.headers, dropped=REPLACED_REQUEST_FIELDS
     ):
         headers.add(name, value)
--- a/src/samphirelug/components/gateway/parsing.py
+++ b/src/samphirelug/components/gateway/parsing.py
@@ -95,7 +95,7 @@
     header_fields: list[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     """Return the header fields to forward to the backend server."""
-    return http_fields.forwarded(header_fields, dropped=NOT_FORWARDED)
+    return http_fields.end_to_end_fields(header_fields, dropped=NOT_FORWARDED)
 
 
 def _parse_deadline(
--- a/src/samphirelug/components/http/io_pool.py
+++ b/src/samphirelug/components/http/io_pool.py
@@ -274,7 +274,9 @@
         answer = core.Answer(
             status=status,
             reason=response.reason,
-            headers=http_fields.forwarded(response.headers, dropped=dropped),
+            headers=http_fields.end_to_end_fields(
+                response.headers, dropped=dropped
+            ),
             body=response.body,
             server=attempt.server.instance_id,
         )
@@ -287,7 +289,7 @@
         lines = [f"{request.method} {request.target} HTTP/1.1"]
         lines += [
             f"{name}: {value}"
-            for name, value in http_fields.forwarded(
+            for name, value in http_fields.end_to_end_fields(
                 request.headers, dropped=self.dropped_request_headers
             )
         ]
--- a/src/samphirelug/helpers/http_fields.py
+++ b/src/samphirelug/helpers/http_fields.py
@@ -1,8 +1,8 @@
-"""Select the header fields that may pass from one connection to another."""
+"""Select the header fields that a proxy forwards."""
 
 from collections.abc import Iterable
 
-# Fields that hold for one connection only (RFC 9110, 7.6.1).
+# Fields that apply to a single connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -18,16 +18,19 @@
 )
 
 
-def forwarded(
+def end_to_end_fields(
     fields: Iterable[tuple[str, str]], *, dropped: frozenset[str]
 ) -> tuple[tuple[str, str], ...]:
-    """Return the fields that may pass on, less those dropped by name."""
+    """Return the fields to forward, without hop-by-hop and dropped ones.
+
+    The names in dropped are in lower case.
+    """
     pairs = tuple(fields)
-    named = {
+    connection_options = {
         token.strip().lower()
         for name, value in pairs
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    barred = named | HOP_BY_HOP | dropped
-    return tuple(pair for pair in pairs if pair[0].lower() not in barred)
+    excluded = connection_options | HOP_BY_HOP | dropped
+    return tuple(pair for pair in pairs if pair[0].lower() not in excluded)
