--- a/src/samphirelug/helpers/__init__.py
+++ b/src/samphirelug/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Group the helpers of samphirelug."""
+"""Provide helpers that are used by several components."""
--- a/src/samphirelug/helpers/log_output.py
+++ b/src/samphirelug/helpers/log_output.py
@@ -1,43 +1,47 @@
-"""Write log lines to a descriptor without ever waiting for its reader."""
+"""Write log lines to a file descriptor without blocking."""
 
 import collections
 import logging
 import os
 
-MAX_WAITING_LINES = 2000
+# Lines beyond this number are dropped while the reader does not read.
+MAX_BUFFERED_LINES = 2000
 
 
 class NonBlockingHandler(logging.Handler):
-    """Keep a bounded number of lines that the reader has not taken."""
+    """Write records to a descriptor and buffer lines while it is full."""
 
     def __init__(self, *, descriptor: int) -> None:
         super().__init__()
         self.descriptor = descriptor
-        self.waiting: collections.deque[bytes] = collections.deque()
-        self.lost = 0
+        self.buffered_lines: collections.deque[bytes] = collections.deque()
+        # Number of lines that were dropped.
+        self.lost_lines = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or keep it for the next one."""
+        """Write a record, or buffer it until a later one can be written."""
         line = self.format(record).encode() + b"\n"
-        if len(self.waiting) >= MAX_WAITING_LINES:
-            self.lost += 1
+        if len(self.buffered_lines) >= MAX_BUFFERED_LINES:
+            self.lost_lines += 1
             return
-        self.waiting.append(line)
+        self.buffered_lines.append(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write as many waiting lines as the reader takes."""
-        while self.waiting:
+        """Write buffered lines until the descriptor would block."""
+        while self.buffered_lines:
             try:
-                written = os.write(self.descriptor, self.waiting[0])
+                written = os.write(self.descriptor, self.buffered_lines[0])
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will read any line any more.
-                self.lost += len(self.waiting)
-                self.waiting.clear()
+                # The descriptor is unusable, for example since the reader has
+                # exited; no later line can be written either.
+                self.lost_lines += len(self.buffered_lines)
+                self.buffered_lines.clear()
                 return
-            line = self.waiting.popleft()
+            line = self.buffered_lines.popleft()
+            # After a partial write, the rest of the line is written next.
             if written < len(line):
-                self.waiting.appendleft(line[written:])
+                self.buffered_lines.appendleft(line[written:])
--- a/src/samphirelug/helpers/logging.py
+++ b/src/samphirelug/helpers/logging.py
@@ -1,4 +1,4 @@
-"""Write JSON logs and sample lines that would repeat in a flood."""
+"""Configure JSON logging and limit the rate of repeated records."""
 
 import logging
 import sys
@@ -19,9 +19,9 @@
     entry_host: str,
     handler: logging.Handler | None = None,
 ) -> None:
-    """Send all log records of the process to a handler as JSON.
+    """Write all log records of the process to a handler as JSON.
 
-    Without a handler they go to standard error.
+    The default handler writes to standard error.
     """
     handler = handler or logging.StreamHandler(sys.stderr)
     handler.setFormatter(
@@ -34,36 +34,41 @@
     root = logging.getLogger()
     root.handlers = [handler]
     root.setLevel(level)
-    # A request refused in a flood must not cost a log line each.
+    # tornado.access logs each refused request, which is too much under
+    # overload.
     logging.getLogger("tornado.access").setLevel(logging.CRITICAL)
-    # It logs each malformed request and each body that came too slowly.
+    # tornado.general logs each malformed request and each body that arrived
+    # too slowly, at level INFO.
     logging.getLogger("tornado.general").setLevel(logging.WARNING)
     logging.getLogger("websockets").setLevel(logging.WARNING)
 
 
 class LogSampler:
-    """Allow one record for each key and interval, and count the others."""
+    """Allow one record per key and interval, and count suppressed ones."""
 
     def __init__(
         self, *, timer_service: timer.TimerService, interval_s: float = 1.0
     ) -> None:
         self.timer = timer_service
         self.interval_s = interval_s
-        self.last_s: dict[str, float] = {}
+        self.last_logged_at_s: dict[str, float] = {}
         self.suppressed: dict[str, int] = {}
 
-    def take(self, key: str) -> int | None:
-        """Return the records suppressed since the last, None to skip."""
+    def sample(self, key: str) -> int | None:
+        """Return the count suppressed since the last record, None to skip."""
         now = self.timer.monotonic()
-        if now - self.last_s.get(key, -self.interval_s) < self.interval_s:
+        if (
+            now - self.last_logged_at_s.get(key, -self.interval_s)
+            < self.interval_s
+        ):
             self.suppressed[key] = self.suppressed.get(key, 0) + 1
             return None
-        self.last_s[key] = now
+        self.last_logged_at_s[key] = now
         return self.suppressed.pop(key, 0)
 
 
 class RefusalLog:
-    """Log the causes of refusals, one record a second for each cause."""
+    """Log refusals, at most one record per second, code and rank."""
 
     def __init__(self, *, timer_service: timer.TimerService) -> None:
         self.sampler = LogSampler(timer_service=timer_service)
@@ -76,13 +81,13 @@
         work: str,
         request_id: str,
     ) -> None:
-        """Log a refusal, unless one of its code and rank just was."""
+        """Log a refusal, unless one of its code and rank was just logged."""
         code = refusal.code
-        unknown = code.effect is result_codes.Effect.OUTCOME_UNKNOWN
-        level = logging.WARNING if unknown else logging.INFO
+        outcome_unknown = code.effect is result_codes.Effect.OUTCOME_UNKNOWN
+        level = logging.WARNING if outcome_unknown else logging.INFO
         if not LOGGER.isEnabledFor(level):
             return
-        suppressed = self.sampler.take(f"{code.name}/{rank.label}")
+        suppressed = self.sampler.sample(f"{code.name}/{rank.label}")
         if suppressed is None:
             return
         LOGGER.log(
--- a/src/samphirelug/helpers/loop_lag.py
+++ b/src/samphirelug/helpers/loop_lag.py
@@ -1,9 +1,9 @@
-"""Measure how late the event loop runs its callbacks."""
+"""Measure the delay with which the event loop runs callbacks."""
 
 from samphirelug.helpers import timer
 
 SAMPLE_INTERVAL_S = 0.05
-# Weight of the newest sample in the decaying maximum.
+# Factor by which the maximum decays with each sample.
 DECAY = 0.8
 
 
@@ -13,12 +13,12 @@
     def __init__(self, *, timer_service: timer.TimerService) -> None:
         self.timer = timer_service
         self.lag_s = 0.0
-        self.expected_s = 0.0
+        self.expected_at_s = 0.0
         self.subscription: timer.Subscription | None = None
 
     def start(self) -> None:
         """Start sampling on the running loop."""
-        self.expected_s = self.timer.monotonic() + SAMPLE_INTERVAL_S
+        self.expected_at_s = self.timer.monotonic() + SAMPLE_INTERVAL_S
         self.subscription = self.timer.subscribe(
             interval_s=SAMPLE_INTERVAL_S, callback=self._sample
         )
@@ -30,6 +30,6 @@
 
     def _sample(self) -> None:
         now = self.timer.monotonic()
-        lag_s = max(0.0, now - self.expected_s)
+        lag_s = max(0.0, now - self.expected_at_s)
         self.lag_s = max(lag_s, self.lag_s * DECAY)
-        self.expected_s = now + SAMPLE_INTERVAL_S
+        self.expected_at_s = now + SAMPLE_INTERVAL_S
--- a/src/samphirelug/helpers/rendezvous.py
+++ b/src/samphirelug/helpers/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rank names by rendezvous (highest random weight) hashing."""
+"""Order names by rendezvous (highest random weight) hashing."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -6,12 +6,12 @@
 
 import xxhash
 
-# Maps a 64-bit hash into the open interval from 0 to 1.
+# Scales a 64-bit hash to the open interval from 0 to 1.
 HASH_SCALE = 1.0 / (1 << 64)
 
 
 def rank_names(*, key: str, names: Iterable[str]) -> list[str]:
-    """Return the names ordered by their weight for the key."""
+    """Return the names, the one with the highest hash for the key first."""
     return sorted(
         names,
         key=lambda name: (
@@ -23,9 +23,10 @@
 
 
 def order_by_weight(*, key: str, weights: Mapping[str, float]) -> list[str]:
-    """Return the names in an order in which each comes first by weight.
+    """Return the names ordered by weighted hash for the key.
 
-    A name that joins or leaves moves only the keys that it takes or had.
+    Each name is first for a fraction of the keys in proportion to its weight.
+    Adding or removing a name moves only the keys for which it is first.
     """
     return sorted(
         weights,
--- a/src/samphirelug/helpers/signing.py
+++ b/src/samphirelug/helpers/signing.py
@@ -1,4 +1,4 @@
-"""Sign and verify the tokens that entry hosts hand out."""
+"""Sign and verify the tokens that entry hosts issue."""
 
 import hashlib
 
@@ -10,10 +10,10 @@
 
 
 class Signer:
-    """Sign values for one purpose with the cluster's secret."""
+    """Sign and verify values for one purpose with the cluster secret."""
 
     def __init__(self, *, secret: str, purpose: str) -> None:
-        # The salt keeps a token for one purpose from passing for another.
+        # The salt prevents the use of a token for another purpose.
         self.serializer = itsdangerous.URLSafeSerializer(
             secret,
             salt=f"samphirelug.{purpose}",
@@ -24,7 +24,7 @@
         )
 
     def sign(self, value: object) -> str:
-        """Return a URL-safe token that holds a JSON value."""
+        """Return a URL-safe token that contains a JSON value."""
         token = self.serializer.dumps(value)
         return token.decode() if isinstance(token, bytes) else token
 
--- a/src/samphirelug/helpers/timer.py
+++ b/src/samphirelug/helpers/timer.py
@@ -1,4 +1,4 @@
-"""Provide the clock, delays and periodic jobs of the process."""
+"""Provide a clock, delays and scheduled callbacks."""
 
 import abc
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class TimerService(abc.ABC):
-    """Give the time and call subscribers when it has come."""
+    """Provide the time and schedule callbacks."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
@@ -41,7 +41,7 @@
 
 
 class LoopSubscription(Subscription):
-    """Hold the event loop's handle of a scheduled callback."""
+    """Represent a callback that is scheduled on the event loop."""
 
     def __init__(
         self, *, callback: Callable[[], None], interval_s: float | None
@@ -51,7 +51,7 @@
         self.handle: asyncio.TimerHandle | None = None
 
     def run(self) -> None:
-        """Call the subscriber and schedule the next call, if periodic."""
+        """Schedule the next call if periodic, then call back."""
         if self.interval_s is not None:
             loop = asyncio.get_running_loop()
             self.handle = loop.call_later(self.interval_s, self.run)
@@ -65,7 +65,7 @@
 
 
 class LoopTimerService(TimerService):
-    """Provide time from the machine and callbacks on the running loop."""
+    """Provide the system clock and callbacks on the running event loop."""
 
     def monotonic(self) -> float:
         """Return seconds on a clock that also counts suspended time."""
@@ -98,7 +98,7 @@
 
 
 class ManualSubscription(Subscription):
-    """Mark whether a callback of the manual clock still stands."""
+    """Represent a callback that is scheduled on a manual clock."""
 
     def __init__(self) -> None:
         self.active = True
@@ -109,17 +109,18 @@
 
 
 class ManualTimerService(TimerService):
-    """Provide a clock that moves only when told, for replayable runs."""
+    """Provide a clock that only advance() moves, for reproducible runs."""
 
     def __init__(self, *, start_s: float = 0.0) -> None:
         self.now_s = start_s
-        self.order = itertools.count()
+        # Orders callbacks that are due at the same time.
+        self.sequence = itertools.count()
         self.pending: list[
             tuple[float, int, Callable[[], None], ManualSubscription]
         ] = []
 
     def monotonic(self) -> float:
-        """Return the time that advance() has reached."""
+        """Return the current time of the manual clock."""
         return self.now_s
 
     def subscribe(
@@ -155,7 +156,7 @@
         await done
 
     def advance(self, delta_s: float) -> None:
-        """Move the clock and run the callbacks that have come due."""
+        """Advance the clock and run the callbacks that are due, in order."""
         end_s = self.now_s + delta_s
         while self.pending and self.pending[0][0] <= end_s:
             when_s, _, callback, subscription = heapq.heappop(self.pending)
@@ -171,5 +172,5 @@
         subscription: ManualSubscription,
     ) -> None:
         heapq.heappush(
-            self.pending, (when_s, next(self.order), callback, subscription)
+            self.pending, (when_s, next(self.sequence), callback, subscription)
         )
--- a/tests/helpers/test_logging.py
+++ b/tests/helpers/test_logging.py
@@ -1,4 +1,4 @@
-"""Test what refusals cost in log lines."""
+"""Test the rate limit on log records of refusals."""
 
 import logging
 
@@ -10,10 +10,10 @@
 from samphirelug import result_codes
 
 
-def test_flood_of_refusals_is_a_line_a_second(
+def test_repeated_refusals_are_logged_once_a_second(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guard against a flood that costs a log line for each refusal."""
+    """Guard against overload that writes a log line for each refusal."""
     clock = timer.ManualTimerService()
     log = logging_helper.RefusalLog(timer_service=clock)
     caplog.set_level(logging.INFO)
