--- a/src/samphirelug/components/metrics/__init__.py
+++ b/src/samphirelug/components/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Count and time what the entry host does."""
+"""Provide the metrics of entry hosts in the Prometheus text format."""
--- a/src/samphirelug/components/metrics/forwarding.py
+++ b/src/samphirelug/components/metrics/forwarding.py
@@ -1,4 +1,4 @@
-"""Count what happens to requests that are forwarded by routes."""
+"""Provide the metrics of an entry host that forwards by routes."""
 
 from aioprometheus import collectors
 from aioprometheus.formats import text
@@ -37,6 +37,8 @@
             "Log lines dropped because standard output was not read",
             registry=self.registry,
         )
+        # What this process knows of the fleet, which may differ from the state
+        # in the store.
         self.beliefs = collectors.Gauge(
             "samphirelug_belief",
             "Configuration version, servers and entry hosts known",
@@ -46,13 +48,13 @@
     def observe_request(
         self, *, route: str, code: str, seconds: float
     ) -> None:
-        """Count a finished request and its latency."""
+        """Count a finished request and record its latency."""
         labels = {"route": route, "code": code}
         self.requests.inc(labels)
         self.latency.observe(labels, seconds)
 
     def count_retry(self, outcome: str) -> None:
-        """Count another attempt for a request."""
+        """Count a retry of a request."""
         self.retries.inc({"outcome": outcome})
 
     def count_store_call(self, kind: str, outcome: str) -> None:
@@ -60,7 +62,7 @@
         self.store_calls.inc({"kind": kind, "outcome": outcome})
 
     def set_belief(self, name: str, value: float) -> None:
-        """Set what the process believes."""
+        """Set the value of samphirelug_belief that has this name."""
         self.beliefs.set({"name": name}, value)
 
     def render(self) -> bytes:
--- a/src/samphirelug/components/metrics/registry.py
+++ b/src/samphirelug/components/metrics/registry.py
@@ -1,4 +1,4 @@
-"""Count refusals, retries, requests and store calls of this process."""
+"""Provide the metrics of an entry host."""
 
 from typing import Any
 
@@ -10,8 +10,8 @@
 from samphirelug import core
 from samphirelug import result_codes
 
-# Codes that a caller can get; each is counted from 0, so that an alert on
-# the increase sees the first refusal.
+# Codes that callers can receive. Their counters start at 0, so that an alert
+# on the increase detects the first refusal.
 REFUSAL_CODES = tuple(
     code
     for code in result_codes.ResultCode
@@ -37,7 +37,7 @@
 
 
 class Metrics:
-    """Hold every metric of the entry host in one registry."""
+    """Hold the metrics of an entry host in one registry."""
 
     def __init__(self) -> None:
         self.registry = collectors.Registry()
@@ -106,7 +106,7 @@
         self.refusals.inc(_refusal_labels(code, rank))
 
     def count_retry(self, reason: str) -> None:
-        """Count another attempt for a request."""
+        """Count a retry of a request."""
         self.retries.inc({"reason": reason})
 
     def observe_request(
@@ -117,7 +117,7 @@
         code: result_codes.ResultCode,
         seconds: float,
     ) -> None:
-        """Count a finished request and its latency in seconds."""
+        """Count a finished request and record its latency."""
         labels = {"work": work, "rank": rank.label}
         self.requests.inc({**labels, "code": code.name.lower()})
         self.latency.observe(labels, seconds)
@@ -131,19 +131,19 @@
         self.peer_messages.inc({"type": kind, "outcome": outcome})
 
     def refusals_by_reason(self) -> dict[str, int]:
-        """Return the refusals counted so far, without reasons at 0."""
-        found: dict[str, int] = {}
+        """Return the number of refusals by reason, without reasons at 0."""
+        refusals: dict[str, int] = {}
         for labels, value in self.refusals.get_all():
-            count = _count(value)
+            count = _as_int(value)
             if count:
                 reason = labels["reason"]
-                found[reason] = found.get(reason, 0) + count
-        return found
+                refusals[reason] = refusals.get(reason, 0) + count
+        return refusals
 
     def store_calls_by_outcome(self) -> list[dict[str, str | int]]:
-        """Return the store calls counted so far by kind and outcome."""
+        """Return the number of store calls by kind and outcome."""
         return [
-            {**labels, "count": _count(value)}
+            {**labels, "count": _as_int(value)}
             for labels, value in self.store_calls.get_all()
         ]
 
@@ -151,14 +151,14 @@
         """Return all metrics in the Prometheus text format."""
         return text.TextFormatter().marshall(self.registry)
 
-    def _counter(self, name: str, doc: str) -> collectors.Counter:
-        return collectors.Counter(name, doc, registry=self.registry)
+    def _counter(self, name: str, help_text: str) -> collectors.Counter:
+        return collectors.Counter(name, help_text, registry=self.registry)
 
-    def _gauge(self, name: str, doc: str) -> collectors.Gauge:
-        return collectors.Gauge(name, doc, registry=self.registry)
+    def _gauge(self, name: str, help_text: str) -> collectors.Gauge:
+        return collectors.Gauge(name, help_text, registry=self.registry)
 
 
-def _count(value: Any) -> int:
+def _as_int(value: Any) -> int:
     return int(value)
 
 
--- a/tests/components/metrics/test_registry.py
+++ b/tests/components/metrics/test_registry.py
@@ -6,11 +6,11 @@
 from samphirelug import result_codes
 
 
-def test_every_refusal_and_retry_reason_is_there_from_the_start() -> None:
-    """Guard against an alert that cannot see the first refusal."""
+def test_all_refusal_and_retry_reasons_start_at_zero() -> None:
+    """Guard against an alert that cannot detect the first refusal."""
     text = registry.Metrics().render().decode()
     for code in result_codes.ResultCode:
-        # Codes from 3000 on are about commands and peers.
+        # Codes from 3000 on concern commands and peers.
         for_callers = 1000 <= code < 3000
         for rank in core.Rank:
             line = (
@@ -23,8 +23,8 @@
         assert line in text
 
 
-def test_refusals_are_summed_over_ranks() -> None:
-    """Guard against a status that leaves out a rank's refusals."""
+def test_refusals_by_reason_are_summed_over_ranks() -> None:
+    """Guard against a status that omits the refusals of a rank."""
     metrics = registry.Metrics()
     code = result_codes.ResultCode.SHIFT_CAP
     for rank in (*core.Rank, None):
