--- a/tests/components/execution/test_retry_budget.py
+++ b/tests/components/execution/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Guard against retries that multiply a flood."""
+"""Guard against retries that multiply an overload."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -17,32 +17,34 @@
 
 
 @given(EVENTS)
-def test_retries_are_a_share(events: list[tuple[int, int, float]]) -> None:
-    """Guard against more retries than the share and the floor allow."""
+def test_retries_are_limited_by_ratio_and_minimum(
+    events: list[tuple[int, int, float]],
+) -> None:
+    """Guard against more retries than the ratio and the minimum allow."""
     budget = retry_budget.RetryBudget(now=0.0)
-    now = first_tries = taken = 0.0
+    now = first_attempts = taken = 0.0
     latest = 0.0
-    for tries, wanted, step_s in events:
-        now += step_s
+    for attempts, retries, elapsed_s in events:
+        now += elapsed_s
         latest = max(latest, now)
-        for _ in range(tries):
+        for _ in range(attempts):
             budget.count_first_attempt()
-        first_tries += tries
-        taken += sum(budget.take(now=now) for _ in range(wanted))
-        floor = const.MIN_RETRIES_BURST + const.MIN_RETRIES_PER_S * latest
-        assert taken <= const.RETRY_RATIO * first_tries + floor + 1e-6
+        first_attempts += attempts
+        taken += sum(budget.take(now=now) for _ in range(retries))
+        minimum = const.MIN_RETRIES_BURST + const.MIN_RETRIES_PER_S * latest
+        assert taken <= const.RETRY_RATIO * first_attempts + minimum + 1e-6
 
 
-def test_lone_request_may_retry() -> None:
-    """Guard against a quiet host that can never retry."""
+def test_quiet_host_can_retry() -> None:
+    """Guard against a host with few requests that can never retry."""
     budget = retry_budget.RetryBudget(now=0.0)
     for second in range(20):
         budget.count_first_attempt()
         assert budget.take(now=float(second))
 
 
-def test_quiet_period_saves_a_bounded_number() -> None:
-    """Guard against a burst of retries after many good requests."""
+def test_saved_credit_is_limited() -> None:
+    """Guard against a burst of retries after many successful requests."""
     budget = retry_budget.RetryBudget(now=0.0)
     for _ in range(100_000):
         budget.count_first_attempt()
--- a/tests/components/execution/test_schedules.py
+++ b/tests/components/execution/test_schedules.py
@@ -1,4 +1,4 @@
-"""Guard against work that runs twice and against false "not run"."""
+"""Guard against work that runs twice and false reports of "not run"."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -16,7 +16,7 @@
 PIECES = ("p0", "p1")
 BUSY = result_codes.Refusal(result_codes.ResultCode.OVERLOADED, "busy", 1.0)
 REPLIES = (None, *FailureKind)
-STEPS_S = (0.3, 1.5, 6.0, 70.0, 130.0)
+ADVANCES_S = (0.3, 1.5, 6.0, 70.0, 130.0)
 
 NUMBER = strategies.integers(0, 7)
 # Names that appear more than once are drawn more often.
@@ -28,8 +28,15 @@
                 *("reply", "reply", "reply", "run"),
                 *("call", "call", "admit", "admit", "refuse"),
                 *("deliver", "deliver", "deliver", "lose"),
-                *("advance", "cancel", "ask", "crash", "stop", "abort"),
-                *("elsewhere", "elsewhere", "stop"),
+                *(
+                    "advance",
+                    "cancel",
+                    "ask",
+                    "crash",
+                    "stop",
+                    "cancel_runs",
+                ),
+                *("call_other", "call_other", "stop"),
             )
         ),
         NUMBER,
@@ -41,45 +48,47 @@
 
 
 class Schedule:
-    """Apply one list of actions to a world."""
+    """Apply one list of actions to a simulated world."""
 
     def __init__(self) -> None:
         self.world = world_module.World(names=NAMES)
-        # Both pieces name eh1, so that its crash and stop matter.
+        # Both tokens are for eh1, so that its crashes and stops affect them.
         self.tokens = {piece: self.world.token() for piece in PIECES}
-        self.calls = 0
+        self.repeatable_count = 0
         self.background: set[asyncio.Task[Any]] = set()
-        self.started: list[world_module.Host] = list(self.world.hosts.values())
+        self.all_hosts: list[world_module.Host] = list(
+            self.world.hosts.values()
+        )
 
     async def apply(self, action: str, first: int, second: int) -> None:
-        """Apply one action and let the tasks go on."""
+        """Apply one action and run the tasks until they wait again."""
         world = self.world
         name = NAMES[first % 3]
-        named = world.hosts["eh1"]
+        token_host = world.hosts["eh1"]
         # The latest attempt is drawn most often.
-        attempt = world.attempts[-1 - min(first, second) % 3 :][:1]
+        latest = world.attempts[-1 - min(first, second) % 3 :][:1]
         piece = PIECES[second // 6]
         if action in ("dispatch", "repeatable"):
             repeatable = action == "repeatable"
             self.call("eh1", piece, first, repeatable=repeatable)
-            await world.settle()
-            named.admission.decide()
+            await world.run_until_idle()
+            token_host.admission.decide()
         elif action == "call":
             self.call(name, piece, first, repeatable=False)
         elif action == "admit":
-            named.admission.decide()
+            token_host.admission.decide()
         elif action == "refuse":
-            named.admission.decide(BUSY)
-        elif action == "reply" and attempt:
-            attempt[0].reply(REPLIES[second % len(REPLIES)])
-        elif action == "run" and attempt:
-            attempt[0].run()
+            token_host.admission.decide(BUSY)
+        elif action == "reply" and latest:
+            latest[0].reply(REPLIES[second % len(REPLIES)])
+        elif action == "run" and latest:
+            latest[0].run()
         elif action == "advance":
-            world.clock.advance(STEPS_S[first % len(STEPS_S)])
+            world.clock.advance(ADVANCES_S[first % len(ADVANCES_S)])
         elif action == "cancel" and world.tasks:
             world.tasks[-1 - first % len(world.tasks)].cancel()
-        elif action == "abort":
-            for run in named.executor.runs.values():
+        elif action == "cancel_runs":
+            for run in token_host.executor.runs.values():
                 assert run.task is not None
                 run.task.cancel()
         elif action in ("deliver", "lose") and world.messages:
@@ -89,56 +98,56 @@
             world.ask(name, piece, self.tokens[piece])
         elif action == "crash":
             world.start_host("eh1")
-            self.started.append(world.hosts["eh1"])
+            self.all_hosts.append(world.hosts["eh1"])
         elif action == "stop":
-            self.spawn(named.executor.hand_over())
+            self.spawn(token_host.executor.hand_over())
             await self.deliver(first)
-        elif action == "elsewhere":
+        elif action == "call_other":
             self.call(NAMES[1 + first % 2], piece, 1, repeatable=False)
             await self.deliver(1)
-        await world.settle()
+        await world.run_until_idle()
 
     def call(
-        self, name: str, piece: str, number: int, *, repeatable: bool
+        self, name: str, piece: str, choice: int, *, repeatable: bool
     ) -> None:
-        """Call a host with a deadline that the number chooses."""
-        limit_s = (5.0, 30.0, 0.4)[number % 3]
+        """Send a request to a host with a deadline chosen by a number."""
+        timeout_s = (5.0, 30.0, 0.4)[choice % 3]
         if repeatable:
-            self.calls += 1
-            name_of_call = f"repeatable{self.calls}"
-            self.world.call(name, name_of_call, None, limit_s=limit_s)
+            self.repeatable_count += 1
+            piece = f"repeatable{self.repeatable_count}"
+            self.world.call(name, piece, None, timeout_s=timeout_s)
             return
         token = self.tokens[piece]
-        self.world.call(name, piece, token, limit_s=limit_s)
+        self.world.call(name, piece, token, timeout_s=timeout_s)
 
     async def deliver(self, count: int) -> None:
-        """Deliver the latest messages; the others stay under way."""
+        """Deliver the latest messages and leave the others in transit."""
         for _ in range(count):
-            await self.world.settle()
+            await self.world.run_until_idle()
             if self.world.messages:
                 await self.world.messages.pop()(False)
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run something beside the schedule."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Start a background task beside the schedule."""
+        task = asyncio.create_task(coroutine)
         self.background.add(task)
 
     async def drain(self) -> None:
-        """Refuse what waits for admission and deliver all messages."""
-        waiting = True
-        while waiting:
-            await self.world.settle()
-            waiting = bool(self.world.messages)
-            for host in self.started:
-                waiting |= any(
-                    not one.done() for one in host.admission.waiting
+        """Refuse all requests that await admission; deliver all messages."""
+        pending = True
+        while pending:
+            await self.world.run_until_idle()
+            pending = bool(self.world.messages)
+            for host in self.all_hosts:
+                pending |= any(
+                    not decision.done() for decision in host.admission.pending
                 )
                 host.admission.decide(BUSY)
             while self.world.messages:
                 await self.world.messages.pop(0)(False)
 
     async def finish(self) -> None:
-        """Let all attempts end and ask every host again."""
+        """End all attempts, repeat the requests on every host and check."""
         world = self.world
         await self.drain()
         for attempt in world.attempts:
@@ -151,15 +160,17 @@
                 await self.drain()
         world.clock.advance(31.0)
         await self.drain()
-        for host in self.started:
+        for host in self.all_hosts:
             assert not host.admission.held, "a permit was not finished"
             assert host.health.outstanding == 0
-            assert not host.executor.runs, "a run has no end"
+            assert not host.executor.runs, "a run has not ended"
         for task in (*world.tasks, *self.background):
             if not task.cancelled():
                 task.result()
 
 
+# With derandomize, the examples follow from the source text of the test, so
+# that even a new name or doc comment in it selects other examples.
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(ACTIONS)
 def test_at_most_once(actions: list[tuple[str, int, int]]) -> None:
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -1,4 +1,4 @@
-"""Simulate hosts, a lossy mesh and a server that counts what it ran."""
+"""Simulate entry hosts, a lossy mesh and a server that counts runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -40,7 +40,7 @@
 
 
 class Attempt:
-    """Hold one attempt as the server sees it."""
+    """Hold one attempt as the backend server sees it."""
 
     def __init__(
         self, request: backend_model.BackendRequest, runs: dict[str, int]
@@ -52,23 +52,23 @@
             asyncio.get_running_loop().create_future()
         )
         self.may_run = True
-        # Set when a caller was told that this attempt did not run.
-        self.denied = False
-        self.ran_after_denial = False
+        # Set when a caller was told that the work was not run.
+        self.reported_not_run = False
+        self.ran_after_not_run_report = False
 
     def run(self) -> None:
-        """Run the work on the server, whatever the host believes."""
+        """Run the work on the server, even if the host has given up."""
         if not self.may_run:
             return
         self.may_run = False
-        self.ran_after_denial = self.denied
+        self.ran_after_not_run_report = self.reported_not_run
         self.runs[self.piece] = self.runs.get(self.piece, 0) + 1
 
     def reply(self, kind: FailureKind | None) -> None:
-        """Give the host an answer or a failure."""
+        """Return an answer or a failure to the host."""
         if kind is not None and kind.certainly_not_run:
-            # A request that was run was sent, and a server that ran it
-            # does not refuse it.
+            # Work that was run cannot count as not sent or refused, so the
+            # host sees a reset instead.
             if not self.may_run:
                 kind = FailureKind.RESET
             self.may_run = False
@@ -82,19 +82,19 @@
             self.result.set_result(Failure(failure))
 
     def answer(self) -> core.Answer:
-        """Return the answer that names the piece of work."""
+        """Return an answer whose body identifies the piece of work."""
         body = self.request.body
         return core.Answer(200, "OK", (), body, self.request.server.name)
 
 
 class Backend(client.BackendClient):
-    """Keep attempts until the schedule decides what becomes of them."""
+    """Hold attempts until the schedule decides their result."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
 
     async def send(self, request: backend_model.BackendRequest) -> Sent:
-        """Return what the schedule decides, or a time-out."""
+        """Return the result from the schedule, or a time-out."""
         attempt = Attempt(request, self.world.runs)
         self.world.attempts.append(attempt)
         timeout = self.world.clock.call_at(
@@ -109,19 +109,19 @@
     async def probe(
         self, server: core.BackendServer, health_path: str, *, timeout_s: float
     ) -> Result[backend_model.HealthReport, backend_model.BackendFailure]:
-        """Fail, since the executor sends no probes."""
+        """Raise an error, since the executor sends no probes."""
         raise NotImplementedError(server, health_path, timeout_s)
 
 
 class Admission:
-    """Admit when the schedule says so and check how permits end."""
+    """Admit as the schedule decides and check that permits end once."""
 
     def __init__(self) -> None:
-        self.waiting: list[asyncio.Future[Admitted]] = []
+        self.pending: list[asyncio.Future[Admitted]] = []
         self.held: set[int] = set()
         self.ended: list[PermitEnd] = []
         self.excluded: list[frozenset[str]] = []
-        self.homes: list[str] = []
+        self.home_regions: list[str] = []
         self.issued = 0
 
     async def admit(
@@ -130,13 +130,13 @@
         *,
         excluded: frozenset[str],
     ) -> Admitted:
-        """Return what the schedule decides."""
-        self.homes.append(request.home_region)
+        """Wait for the decision of the schedule and return it."""
+        self.home_regions.append(request.home_region)
         self.excluded.append(excluded)
         decision: asyncio.Future[Admitted] = (
             asyncio.get_running_loop().create_future()
         )
-        self.waiting.append(decision)
+        self.pending.append(decision)
         result = await decision
         if isinstance(result, Success):
             self.held.add(result.unwrap().hold_id)
@@ -151,18 +151,20 @@
         answer_bytes: int,  # noqa: ARG002
         traffic: backend_model.Traffic | None = None,
     ) -> None:
-        """Fail when a permit ends twice."""
+        """Record how a permit ended; fail if it ends twice."""
         assert traffic is not None
         self.held.remove(permit.hold_id)
         self.ended.append(ended)
 
     def decide(self, refusal: result_codes.Refusal | None = None) -> None:
-        """Admit or refuse the request that has waited longest."""
-        self.waiting = [one for one in self.waiting if not one.done()]
-        if not self.waiting:
+        """Admit or refuse the request that has waited the longest."""
+        self.pending = [
+            decision for decision in self.pending if not decision.done()
+        ]
+        if not self.pending:
             return
         if refusal is not None:
-            self.waiting.pop(0).set_result(Failure(refusal))
+            self.pending.pop(0).set_result(Failure(refusal))
             return
         self.issued += 1
         server = SERVERS[self.issued % len(SERVERS)]
@@ -170,18 +172,18 @@
         permit = admission_model.Permit(
             self.issued, bundle, admission_model.PermitSource.OWN
         )
-        self.waiting.pop(0).set_result(Success(permit))
+        self.pending.pop(0).set_result(Success(permit))
 
 
 class Health:
-    """Count attempts that have started and not ended."""
+    """Count attempts that have started but not ended."""
 
     def __init__(self) -> None:
         self.outstanding = 0
         self.failures: list[FailureKind | None] = []
 
     def started(self, server: str) -> None:
-        """Count an attempt."""
+        """Count the start of an attempt."""
         assert server in SERVERS
         self.outstanding += 1
 
@@ -192,7 +194,7 @@
         latency_s: float,
         failure: FailureKind | None,
     ) -> None:
-        """Keep how an attempt ended."""
+        """Record how an attempt ended."""
         assert server in SERVERS
         assert latency_s >= 0.0
         self.outstanding -= 1
@@ -200,7 +202,7 @@
 
 
 class Catalogue:
-    """Hold the small view."""
+    """Hold the small view of the catalogue."""
 
     def __init__(self) -> None:
         self.view: catalogue_view.CatalogueView = VIEW
@@ -208,7 +210,7 @@
 
 
 class Mesh(mesh.PeerMesh):
-    """Deliver or lose messages when the schedule says so."""
+    """Deliver or lose messages as the schedule decides."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.world = world
@@ -216,7 +218,7 @@
         self.handlers: dict[type, mesh.Handler] = {}
 
     def live_peers(self) -> tuple[peer_model.PeerView, ...]:
-        """Return the other hosts that run, with their clocks."""
+        """Return the other running hosts with their clocks."""
         return tuple(
             peer_model.PeerView(host.heartbeat(), self.world.now(), True)
             for name, host in self.world.hosts.items()
@@ -226,7 +228,7 @@
     async def request(
         self, host: str, message: peer_model.Message, *, timeout_s: float
     ) -> Result[peer_model.Message, result_codes.Refusal]:
-        """Return the answer, unless the schedule loses a message."""
+        """Return the reply; fails when the schedule loses a message."""
         done: asyncio.Future[
             Result[peer_model.Message, result_codes.Refusal]
         ] = asyncio.get_running_loop().create_future()
@@ -261,12 +263,12 @@
         raise NotImplementedError(message)
 
     def set_handler(self, kind: type, handler: mesh.Handler) -> None:
-        """Keep the handler."""
+        """Store the handler."""
         self.handlers[kind] = handler
 
 
 class Host:
-    """Run one incarnation of an entry host."""
+    """Hold the simulated parts of one entry host incarnation."""
 
     def __init__(self, world: "World", name: str, number: int) -> None:
         self.world = world
@@ -276,7 +278,7 @@
         self.mesh = Mesh(world, name)
         self.admission = Admission()
         self.health = Health()
-        self.book = outcomes.OutcomeTable(
+        self.outcomes = outcomes.OutcomeTable(
             host=self.identity,
             timer=world.clock,
             started_at_s=world.now(),
@@ -288,7 +290,7 @@
             admission=self.admission,
             backend=Backend(world),
             health=self.health,
-            outcomes=self.book,
+            outcomes=self.outcomes,
             issuer=world.issuer,
             mesh=self.mesh,
             timer=world.clock,
@@ -298,11 +300,11 @@
         )
 
     def heartbeat(self) -> peer_model.Heartbeat:
-        """Return what peers know of the host."""
+        """Return the heartbeat that peers have received."""
         return peer_model.Heartbeat(
             host=self.identity,
             state=core.EntryHostState.SERVING,
-            clock_ms=self.book.clock_ms(),
+            clock_ms=self.outcomes.clock_ms(),
             catalogue_revision=1,
             headroom=(),
             queued=(0, 0, 0),
@@ -312,7 +314,7 @@
 
 
 class World:
-    """Hold all hosts and judge each answer by what the server ran."""
+    """Hold all hosts and check answers against what the server ran."""
 
     def __init__(
         self,
@@ -330,8 +332,8 @@
         self.messages: list[Callable[[bool], Coroutine[Any, Any, None]]] = []
         self.tasks: list[asyncio.Task[Any]] = []
         self.errors: list[str] = []
-        # Pieces whose token was reported as never to run.
-        self.barred: set[str] = set()
+        # Pieces of work whose token was reported as revoked or expired.
+        self.must_not_run: set[str] = set()
         self.started = 0
         self.hosts: dict[str, Host] = {}
         for name in names:
@@ -342,18 +344,18 @@
         return self.clock.monotonic()
 
     def start_host(self, name: str) -> None:
-        """Start a new incarnation; the former one is gone."""
+        """Start a new incarnation, which replaces the previous one."""
         self.started += 1
         self.hosts[name] = Host(self, name, self.started)
 
     def token(self, name: str = "eh1") -> str:
-        """Return a token for filings that names a host."""
+        """Return a run token for filings on a host."""
         host = self.hosts[name]
         return self.issuer.issue(
             work="file-claim",
             host=host.identity,
             home_region="tallinn",
-            clock_ms=host.book.clock_ms(),
+            clock_ms=host.outcomes.clock_ms(),
         )
 
     def call(
@@ -362,9 +364,9 @@
         piece: str,
         token: str | None,
         *,
-        limit_s: float = 5.0,
+        timeout_s: float = 5.0,
     ) -> asyncio.Task[model.Outcome]:
-        """Start a caller's request and judge its answer."""
+        """Send a caller's request to a host and check the answer."""
         request = core.CallerRequest(
             request_id="r1",
             work="file-claim" if token else "case-status",
@@ -374,63 +376,69 @@
             query="",
             headers=(),
             body=piece.encode(),
-            deadline_at_s=self.now() + limit_s,
+            deadline_at_s=self.now() + timeout_s,
             home_region="parnu",
             run_token=token,
         )
-        return self.watch(self.hosts[name].executor.run(request), piece)
+        return self.track(self.hosts[name].executor.run(request), piece)
 
     def ask(
         self, name: str, piece: str, token: str
     ) -> asyncio.Task[model.Outcome]:
-        """Ask a host what became of a token and judge the answer."""
-        return self.watch(self.hosts[name].executor.outcome(token), piece)
+        """Ask a host for the outcome of a token and check the answer."""
+        return self.track(self.hosts[name].executor.outcome(token), piece)
 
-    def watch(
+    def track(
         self, call: Coroutine[Any, Any, model.Outcome], piece: str
     ) -> asyncio.Task[model.Outcome]:
-        """Judge the result of a call at the moment when it is given."""
+        """Check the result of a call at the moment it is returned."""
 
-        async def judged() -> model.Outcome:
+        async def checked() -> model.Outcome:
             outcome = await call
-            self.judge(outcome, piece)
+            self.check_outcome(outcome, piece)
             return outcome
 
-        task = asyncio.create_task(judged())
+        task = asyncio.create_task(checked())
         self.tasks.append(task)
         return task
 
-    def judge(self, outcome: model.Outcome, piece: str) -> None:
-        """Compare an answer with what the server has run."""
+    def check_outcome(self, outcome: model.Outcome, piece: str) -> None:
+        """Compare an answer with what the server has run so far."""
         runs = self.runs.get(piece, 0)
         if isinstance(outcome, Success):
             if outcome.unwrap().body != piece.encode() or runs == 0:
-                self.errors.append(f"{piece}: answer of other work")
+                self.errors.append(
+                    f"{piece}: wrong answer, or an answer without a run"
+                )
             return
         code = outcome.failure().code
         if code.effect is not Effect.NOT_RUN:
             return
         if runs:
-            self.errors.append(f"{piece}: {code.name} but it was run")
+            self.errors.append(f"{piece}: {code.name} although it was run")
         if code in (ResultCode.TOKEN_REVOKED, ResultCode.TOKEN_EXPIRED):
-            self.barred.add(piece)
+            self.must_not_run.add(piece)
         for attempt in self.attempts:
-            attempt.denied |= attempt.piece == piece
+            attempt.reported_not_run |= attempt.piece == piece
 
-    async def settle(self) -> None:
-        """Let every task run until it waits for the schedule."""
+    async def run_until_idle(self) -> None:
+        """Run the event loop until all tasks wait for the schedule."""
         for _ in range(12):
             await asyncio.sleep(0)
 
     def violations(self, *, once: frozenset[str]) -> list[str]:
-        """Return every broken promise seen so far."""
+        """Return all violations of at-most-once seen so far."""
         found = list(self.errors)
         for piece, runs in self.runs.items():
             if piece in once and runs > 1:
                 found.append(f"{piece}: run {runs} times")
-            if piece in self.barred:
-                found.append(f"{piece}: run after it was barred")
+            if piece in self.must_not_run:
+                found.append(
+                    f"{piece}: run after its token was reported as unusable"
+                )
         for attempt in self.attempts:
-            if attempt.ran_after_denial:
-                found.append(f"{attempt.piece}: run after a not-run refusal")
+            if attempt.ran_after_not_run_report:
+                found.append(
+                    f"{attempt.piece}: run after it was reported as not run"
+                )
         return found
