--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -21,10 +21,10 @@
 from samphirelug.components.execution import retry_budget
 from samphirelug.components.execution import tokens
 from samphirelug.components.metrics import registry
-from samphirelug.components.peers import mesh as mesh_module
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug import core
-from samphirelug.helpers import timer as timer_module
+from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 from samphirelug.result_codes import ResultCode
 
@@ -65,8 +65,8 @@
         health: ports.Health,
         outcomes: outcomes_module.OutcomeTable,
         issuer: tokens.TokenIssuer,
-        mesh: mesh_module.PeerMesh,
-        timer: timer_module.TimerService,
+        mesh: peers_mesh.PeerMesh,
+        timer: timer_helper.TimerService,
         rng: random.Random,
         metrics: registry.Metrics,
         host: core.EntryHost,
@@ -85,8 +85,8 @@
         self.budget = retry_budget.RetryBudget(now=timer.monotonic())
         # Runs under a run token that have not ended, by token id.
         self.runs: dict[str, Run] = {}
-        mesh.set_handler(peer_model.OutcomeQuery, self.on_query)
-        mesh.set_handler(peer_model.OutcomeHandover, self.on_handover)
+        mesh.set_handler(peers_model.OutcomeQuery, self.on_query)
+        mesh.set_handler(peers_model.OutcomeHandover, self.on_handover)
 
     async def run(self, request: core.CallerRequest) -> model.Outcome:
         """Return the answer to a request, or the refusal.
@@ -175,26 +175,26 @@
     async def on_query(
         self,
         sender: str,  # noqa: ARG002
-        message: peer_model.Message,
-    ) -> peer_model.Message | None:
+        message: peers_model.Message,
+    ) -> peers_model.Message | None:
         """Answer another host's query for the outcome of a run token."""
-        assert isinstance(message, peer_model.OutcomeQuery)
+        assert isinstance(message, peers_model.OutcomeQuery)
         decoded = self.issuer.decode(message.token)
         if isinstance(decoded, Failure):
             return None
-        return peer_model.OutcomeReply(self.outcomes.revoke(decoded.unwrap()))
+        return peers_model.OutcomeReply(self.outcomes.revoke(decoded.unwrap()))
 
     async def on_handover(
-        self, sender: str, message: peer_model.Message
-    ) -> peer_model.Message | None:
+        self, sender: str, message: peers_model.Message
+    ) -> peers_model.Message | None:
         """Store the outcomes of a peer that is stopping."""
-        assert isinstance(message, peer_model.OutcomeHandover)
+        assert isinstance(message, peers_model.OutcomeHandover)
         if not self.outcomes.accept_handover(message):
             LOG.warning(
                 "outcome table full; rejected the outcomes of %s", sender
             )
             return None
-        return peer_model.Acknowledgement()
+        return peers_model.Acknowledgement()
 
     def _find_work(
         self, name: str
@@ -466,13 +466,13 @@
             return outcomes_module.outcome_from_record(record, digest)
         reply = await self.mesh.request(
             run_token.host,
-            peer_model.OutcomeQuery(token),
+            peers_model.OutcomeQuery(token),
             timeout_s=const.OUTCOME_QUERY_TIMEOUT_S,
         )
         if isinstance(reply, Success):
             message = reply.unwrap()
             if (
-                isinstance(message, peer_model.OutcomeReply)
+                isinstance(message, peers_model.OutcomeReply)
                 and message.record.token_id == run_token.token_id
             ):
                 return outcomes_module.outcome_from_record(
@@ -485,7 +485,7 @@
     async def _hand_over_to_peer(
         self,
         peer: str,
-        messages: tuple[peer_model.OutcomeHandover, ...],
+        messages: tuple[peers_model.OutcomeHandover, ...],
     ) -> bool:
         for message in messages:
             # A peer can accept a message twice, so a lost reply is retried.
@@ -494,7 +494,7 @@
                     peer, message, timeout_s=const.HANDOVER_TIMEOUT_S
                 )
                 if isinstance(
-                    reply.value_or(None), peer_model.Acknowledgement
+                    reply.value_or(None), peers_model.Acknowledgement
                 ):
                     break
             else:
--- a/src/samphirelug/components/execution/handover.py
+++ b/src/samphirelug/components/execution/handover.py
@@ -2,8 +2,8 @@
 
 from samphirelug.components.execution import const
 from samphirelug.components.execution import outcomes
-from samphirelug.components.peers import model as peer_model
-from samphirelug import const as common_const
+from samphirelug.components.peers import model as peers_model
+from samphirelug import const as shared_const
 
 # Allowance for the keys, code, lifetime and CBOR framing of a record, and
 # again for those of its answer.
@@ -13,10 +13,10 @@
 def build_messages(
     *,
     incarnation: str,
-    records: tuple[peer_model.OutcomeRecord, ...],
+    records: tuple[peers_model.OutcomeRecord, ...],
     clock_ms: int,
     max_bytes: int = const.HANDOVER_MESSAGE_BYTES,
-) -> tuple[peer_model.OutcomeHandover, ...]:
+) -> tuple[peers_model.OutcomeHandover, ...]:
     """Return hand-over messages in sending order, the complete one last.
 
     The message with the flag "complete" lists every token, without answers,
@@ -24,7 +24,7 @@
     earlier message. If the tokens do not fit in one message, no message has
     the flag, and the outcome of a token that is not listed stays unknown.
     """
-    batches: list[list[peer_model.OutcomeRecord]] = []
+    batches: list[list[peers_model.OutcomeRecord]] = []
     for group in (
         [record for record in records if record.answer is not None],
         [record for record in records if record.answer is None],
@@ -43,9 +43,9 @@
 
 
 def _split_into_batches(
-    records: list[peer_model.OutcomeRecord], max_bytes: int
-) -> list[list[peer_model.OutcomeRecord]]:
-    batches: list[list[peer_model.OutcomeRecord]] = []
+    records: list[peers_model.OutcomeRecord], max_bytes: int
+) -> list[list[peers_model.OutcomeRecord]]:
+    batches: list[list[peers_model.OutcomeRecord]] = []
     free_bytes = 0
     for record in records:
         size = _estimate_bytes(record)
@@ -59,13 +59,13 @@
 
 def _build_message(
     incarnation: str,
-    records: list[peer_model.OutcomeRecord],
+    records: list[peers_model.OutcomeRecord],
     complete: bool,
     clock_ms: int,
-) -> peer_model.OutcomeHandover:
+) -> peers_model.OutcomeHandover:
     # After this time no token of the incarnation is accepted any more.
-    ttl_s = common_const.TOKEN_TTL_S + const.RETENTION_AFTER_EXPIRY_S
-    return peer_model.OutcomeHandover(
+    ttl_s = shared_const.TOKEN_TTL_S + const.RETENTION_AFTER_EXPIRY_S
+    return peers_model.OutcomeHandover(
         incarnation=incarnation,
         records=tuple(records),
         complete=complete,
@@ -74,7 +74,7 @@
     )
 
 
-def _estimate_bytes(record: peer_model.OutcomeRecord) -> int:
+def _estimate_bytes(record: peers_model.OutcomeRecord) -> int:
     size = _FRAMING_BYTES + len(record.token_id) + len(record.detail.encode())
     if record.answer is None:
         return size
--- a/src/samphirelug/components/execution/outcomes.py
+++ b/src/samphirelug/components/execution/outcomes.py
@@ -9,10 +9,10 @@
 from samphirelug.components.execution import const
 from samphirelug.components.execution import model
 from samphirelug.components.execution import tokens
-from samphirelug.components.peers import model as peer_model
-from samphirelug import const as common_const
+from samphirelug.components.peers import model as peers_model
+from samphirelug import const as shared_const
 from samphirelug import core
-from samphirelug.helpers import timer as timer_module
+from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 from samphirelug.result_codes import ResultCode
 
@@ -34,7 +34,7 @@
 class ReceivedHandover(NamedTuple):
     """Hold the outcomes that a stopped incarnation handed over."""
 
-    records: dict[str, peer_model.OutcomeRecord]
+    records: dict[str, peers_model.OutcomeRecord]
     # The incarnation's clock in ms when it stopped accepting tokens; None
     # until a complete list of its tokens has been received.
     closed_at_ms: int | None
@@ -48,7 +48,7 @@
         self,
         *,
         host: core.EntryHost,
-        timer: timer_module.TimerService,
+        timer: timer_helper.TimerService,
         started_at_s: float,
         max_outcomes: int = const.MAX_OUTCOMES,
         max_total_bytes: int = const.MAX_KEPT_TOTAL_BYTES,
@@ -132,7 +132,7 @@
             answer=None,
         )
 
-    def revoke(self, token: tokens.RunToken) -> peer_model.OutcomeRecord:
+    def revoke(self, token: tokens.RunToken) -> peers_model.OutcomeRecord:
         """Return a token's outcome; revoke the token if it is unused."""
         if token.incarnation != self.host.incarnation:
             return self.handed_over_record(token)
@@ -176,7 +176,7 @@
         """Let no further token be claimed; outcomes can still be queried."""
         self.closed = True
 
-    def records(self) -> tuple[peer_model.OutcomeRecord, ...]:
+    def records(self) -> tuple[peers_model.OutcomeRecord, ...]:
         """Close the table and return all outcomes for a hand-over."""
         self.close()
         self._remove_expired()
@@ -193,7 +193,7 @@
             records.append(record)
         return tuple(records)
 
-    def accept_handover(self, handover: peer_model.OutcomeHandover) -> bool:
+    def accept_handover(self, handover: peers_model.OutcomeHandover) -> bool:
         """Store outcomes of a stopped incarnation; false if too many.
 
         A complete hand-over lists every token of the incarnation, so the
@@ -227,7 +227,7 @@
 
     def handed_over_record(
         self, token: tokens.RunToken
-    ) -> peer_model.OutcomeRecord:
+    ) -> peers_model.OutcomeRecord:
         """Return the handed-over outcome of another incarnation's token.
 
         The code is ENTRY_HOST_LOST if nothing is known of the token.
@@ -324,7 +324,7 @@
                 del self.handed_over[incarnation]
 
     def _extend_retention(self, token_id: str, now_s: int) -> None:
-        second = now_s + int(common_const.MAX_REQUEST_S)
+        second = now_s + int(shared_const.MAX_REQUEST_S)
         self._removals.setdefault(second, set()).add(token_id)
         entry = self.entries[token_id]
         self.entries[token_id] = entry._replace(
@@ -333,13 +333,13 @@
 
     def _entry_record(
         self, token_id: str, entry: TokenEntry
-    ) -> peer_model.OutcomeRecord:
+    ) -> peers_model.OutcomeRecord:
         code, detail = entry.code, entry.detail
         if code is None:
             code, detail = ResultCode.ATTEMPT_RUNNING, "the work is running"
         elif code is ResultCode.OK and entry.answer is None:
             code, detail = ResultCode.OUTCOME_NOT_KEPT, _NOT_KEPT
-        return peer_model.OutcomeRecord(
+        return peers_model.OutcomeRecord(
             token_id=token_id,
             code=code,
             detail=detail,
@@ -349,8 +349,8 @@
         )
 
     def _limit_answer_bytes(
-        self, record: peer_model.OutcomeRecord
-    ) -> peer_model.OutcomeRecord:
+        self, record: peers_model.OutcomeRecord
+    ) -> peers_model.OutcomeRecord:
         if _answer_bytes(record.answer) <= self.max_answer_bytes:
             return record
         return _without_answer(record)
@@ -376,14 +376,14 @@
 
 
 def without_answers(
-    records: Iterable[peer_model.OutcomeRecord],
-) -> tuple[peer_model.OutcomeRecord, ...]:
+    records: Iterable[peers_model.OutcomeRecord],
+) -> tuple[peers_model.OutcomeRecord, ...]:
     """Return the records without their answers."""
     return tuple(_without_answer(record) for record in records)
 
 
 def outcome_from_record(
-    record: peer_model.OutcomeRecord, digest: bytes = b""
+    record: peers_model.OutcomeRecord, digest: bytes = b""
 ) -> model.Outcome:
     """Convert a record to an outcome.
 
@@ -425,13 +425,13 @@
 
 def _make_record(
     token: tokens.RunToken, code: ResultCode, detail: str
-) -> peer_model.OutcomeRecord:
-    return peer_model.OutcomeRecord(token.token_id, code, detail, None, 0)
+) -> peers_model.OutcomeRecord:
+    return peers_model.OutcomeRecord(token.token_id, code, detail, None, 0)
 
 
 def _without_answer(
-    record: peer_model.OutcomeRecord,
-) -> peer_model.OutcomeRecord:
+    record: peers_model.OutcomeRecord,
+) -> peers_model.OutcomeRecord:
     if record.answer is None:
         return record
     return record._replace(
--- a/src/samphirelug/components/execution/tokens.py
+++ b/src/samphirelug/components/execution/tokens.py
@@ -11,7 +11,7 @@
 from samphirelug import const
 from samphirelug import core
 from samphirelug.helpers import signing
-from samphirelug.helpers import timer as timer_module
+from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
 
@@ -34,7 +34,7 @@
     """Issue run tokens and decode those of all entry hosts."""
 
     def __init__(
-        self, *, secret: str, timer: timer_module.TimerService
+        self, *, secret: str, timer: timer_helper.TimerService
     ) -> None:
         self.signer = signing.Signer(secret=secret, purpose="run-token")
         self.timer = timer
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from samphirelug.components.admission import model as admission_model
-from samphirelug.components.peers import mesh as peer_mesh
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import const
 from samphirelug.components.quota import ledger as quota_ledger
 from samphirelug.components.quota import model
@@ -71,7 +71,7 @@
 
     key: str
     lender: str
-    grant: peer_model.UnitGrant
+    grant: peers_model.UnitGrant
     sent_s: float
 
 
@@ -85,7 +85,7 @@
         self,
         *,
         ledger: quota_ledger.QuotaLedger,
-        mesh: peer_mesh.PeerMesh,
+        mesh: peers_mesh.PeerMesh,
         timer: timer_helper.TimerService,
         host: core.EntryHost,
     ) -> None:
@@ -137,7 +137,7 @@
         scope = LoanScope(work, region, home_region != region)
         if scope in self._requests:
             return
-        request = peer_model.GrantRequest(
+        request = peers_model.GrantRequest(
             work=work,
             region=region,
             bundles_wanted=count,
@@ -228,11 +228,11 @@
             sent_s = self.timer.monotonic()
             answer = await self.mesh.request(
                 lender,
-                peer_model.UnitRequest((model.UnitAmount(key, requested),)),
+                peers_model.UnitRequest((model.UnitAmount(key, requested),)),
                 timeout_s=GRANT_TIMEOUT_S,
             )
             grant = answer.value_or(None)
-            if isinstance(grant, peer_model.UnitGrant) and grant.units:
+            if isinstance(grant, peers_model.UnitGrant) and grant.units:
                 loans.append(UnitLoan(key, lender, grant, sent_s))
         if _total_units(loans) < needed - self.ledger.free(key):
             wait_s = self._rng.uniform(1.0, 3.0) * REFUSED_BACKOFF_S
@@ -291,11 +291,11 @@
 
     def _return_units(self, loan: UnitLoan) -> None:
         self.mesh.send(
-            loan.lender, peer_model.GrantReturn(loan.grant.loan_id, 0)
+            loan.lender, peers_model.GrantReturn(loan.grant.loan_id, 0)
         )
 
     async def _request_from_lenders(
-        self, scope: LoanScope, request: peer_model.GrantRequest
+        self, scope: LoanScope, request: peers_model.GrantRequest
     ) -> None:
         for lender in self._lenders(scope)[:MAX_LENDERS_ASKED]:
             sent_s = self.timer.monotonic()
@@ -303,7 +303,7 @@
                 lender, request, timeout_s=GRANT_TIMEOUT_S
             )
             grant = answer.value_or(None)
-            if not isinstance(grant, peer_model.Grant) or not grant.bundles:
+            if not isinstance(grant, peers_model.Grant) or not grant.bundles:
                 now = self.timer.monotonic()
                 self._backoff[(lender, scope)] = now + REFUSED_BACKOFF_S
                 continue
@@ -339,9 +339,9 @@
     def _store_bundles(
         self,
         scope: LoanScope,
-        request: peer_model.GrantRequest,
+        request: peers_model.GrantRequest,
         lender: str,
-        grant: peer_model.Grant,
+        grant: peers_model.Grant,
         sent_s: float,
     ) -> None:
         duration_s = min(grant.duration_s, const.LOAN_S)
@@ -382,7 +382,7 @@
     def _return_bundle(self, borrowed: BorrowedBundle) -> None:
         self.mesh.send(
             borrowed.lender,
-            peer_model.GrantReturn(borrowed.loan_id, borrowed.number),
+            peers_model.GrantReturn(borrowed.loan_id, borrowed.number),
         )
 
     def _notify(self) -> None:
@@ -401,14 +401,14 @@
 
 def make_return_handler(
     ledger: quota_ledger.QuotaLedger,
-) -> peer_mesh.Handler:
+) -> peers_mesh.Handler:
     """Return the handler for GrantReturn messages to a lender."""
 
     async def settle(
         sender: str,  # noqa: ARG001
-        message: peer_model.Message,
-    ) -> peer_model.Message | None:
-        if isinstance(message, peer_model.GrantReturn):
+        message: peers_model.Message,
+    ) -> peers_model.Message | None:
+        if isinstance(message, peers_model.GrantReturn):
             ledger.settle(message.loan_id, message.bundle_number)
         return None
 
--- a/standins/simulation/quota.py
+++ b/standins/simulation/quota.py
@@ -21,8 +21,8 @@
 
 from samphirelug.components.admission import model as admission_model
 from samphirelug.components.catalogue import view as catalogue_view
-from samphirelug.components.peers import mesh as peer_mesh
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import const
 from samphirelug.components.quota import ledger as quota_ledger
 from samphirelug.components.quota import limits
@@ -235,10 +235,10 @@
             host=identity,
         )
         self.identity = identity
-        self.mesh.set_handler(peer_model.GrantRequest, self.grant)
-        self.mesh.set_handler(peer_model.UnitRequest, self.grant_units)
+        self.mesh.set_handler(peers_model.GrantRequest, self.grant)
+        self.mesh.set_handler(peers_model.UnitRequest, self.grant_units)
         self.mesh.set_handler(
-            peer_model.GrantReturn, loans.make_return_handler(self.ledger)
+            peers_model.GrantReturn, loans.make_return_handler(self.ledger)
         )
         self.keeper = seat_keeper.SeatKeeper(
             store=FakeStore(self),
@@ -383,10 +383,10 @@
     async def grant(
         self,
         sender: str,  # noqa: ARG002
-        message: peer_model.Message,
-    ) -> peer_model.Message:
+        message: peers_model.Message,
+    ) -> peers_model.Message:
         """Lend the requested bundles as far as units are free."""
-        assert isinstance(message, peer_model.GrantRequest)
+        assert isinstance(message, peers_model.GrantRequest)
         loan_id = f"{self.identity.incarnation}/{next(self.sim.sequence)}"
         lent: list[model.Bundle] = []
         view = self.sim.view
@@ -406,15 +406,15 @@
                 for key, amount in bundle.units:
                     if key.startswith("link:"):
                         self.borrower.request_units(key=key, needed=amount)
-        return peer_model.Grant(loan_id, tuple(lent), duration_s)
+        return peers_model.Grant(loan_id, tuple(lent), duration_s)
 
     async def grant_units(
         self,
         sender: str,  # noqa: ARG002
-        message: peer_model.Message,
-    ) -> peer_model.Message:
+        message: peers_model.Message,
+    ) -> peers_model.Message:
         """Lend the free units, up to the requested amounts."""
-        assert isinstance(message, peer_model.UnitRequest)
+        assert isinstance(message, peers_model.UnitRequest)
         loan_id = f"{self.identity.incarnation}/{next(self.sim.sequence)}"
         units = tuple(
             model.UnitAmount(key, min(amount, self.ledger.free(key)))
@@ -431,19 +431,19 @@
             until_s=self.timer.monotonic() + const.LOAN_S,
         )
         self.sim.unit_loans += lent
-        return peer_model.UnitGrant(
+        return peers_model.UnitGrant(
             loan_id, units if lent else (), const.LOAN_S
         )
 
 
-class FakeMesh(peer_mesh.PeerMesh):
+class FakeMesh(peers_mesh.PeerMesh):
     """Deliver, delay, repeat or lose messages between simulated hosts."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.handlers: dict[type, peer_mesh.Handler] = {}
+        self.handlers: dict[type, peers_mesh.Handler] = {}
 
-    def live_peers(self) -> tuple[peer_model.PeerView, ...]:
+    def live_peers(self) -> tuple[peers_model.PeerView, ...]:
         peers = [
             peer
             for peer in self.host.sim.hosts.values()
@@ -451,14 +451,14 @@
         ]
         return tuple(map(self.make_peer_view, peers))
 
-    def make_peer_view(self, peer: Host) -> peer_model.PeerView:
-        heartbeat = peer_model.Heartbeat(
+    def make_peer_view(self, peer: Host) -> peers_model.PeerView:
+        heartbeat = peers_model.Heartbeat(
             host=peer.identity,
             state=core.EntryHostState.SERVING,
             clock_ms=0,
             catalogue_revision=0,
             headroom=tuple(
-                peer_model.RegionHeadroom(
+                peers_model.RegionHeadroom(
                     region,
                     "filing",
                     peer.ledger.free(limits.region_key(region)),
@@ -470,15 +470,15 @@
             wait_s=(0.0, 0.0, 0.0),
             sightings=(),
         )
-        return peer_model.PeerView(
+        return peers_model.PeerView(
             heartbeat, self.host.timer.monotonic(), True
         )
 
     def deliver(
         self,
         name: str,
-        message: peer_model.Message,
-        on_answer: Callable[[peer_model.Message | None], None],
+        message: peers_model.Message,
+        on_answer: Callable[[peers_model.Message | None], None],
     ) -> None:
         sim = self.host.sim
         peer = sim.hosts.get(name)
@@ -498,13 +498,13 @@
             [0.0, 0.3, 3.0 if sim.draw_failure() else 0.1]
         )
         peer.call_later(delay_s, lambda: start_task(handle()))
-        if sim.draw_failure() and isinstance(message, peer_model.GrantReturn):
+        if sim.draw_failure() and isinstance(message, peers_model.GrantReturn):
             peer.call_later(delay_s + 5.0, lambda: start_task(handle()))
 
     async def request(
-        self, host: str, message: peer_model.Message, *, timeout_s: float
-    ) -> Result[peer_model.Message, result_codes.Refusal]:
-        answers: list[peer_model.Message | None] = []
+        self, host: str, message: peers_model.Message, *, timeout_s: float
+    ) -> Result[peers_model.Message, result_codes.Refusal]:
+        answers: list[peers_model.Message | None] = []
         sim = self.host.sim
         self.deliver(
             host,
@@ -520,13 +520,13 @@
             return Success(answers[0])
         return Failure(result_codes.Refusal(CODES.PEER_UNREACHABLE, ""))
 
-    def send(self, host: str, message: peer_model.Message) -> None:
+    def send(self, host: str, message: peers_model.Message) -> None:
         self.deliver(host, message, lambda _: None)
 
-    def broadcast(self, message: peer_model.Message) -> None:
+    def broadcast(self, message: peers_model.Message) -> None:
         raise NotImplementedError
 
-    def set_handler(self, kind: type, handler: peer_mesh.Handler) -> None:
+    def set_handler(self, kind: type, handler: peers_mesh.Handler) -> None:
         self.handlers[kind] = handler
 
 
--- a/tests/components/execution/test_executor.py
+++ b/tests/components/execution/test_executor.py
@@ -11,7 +11,7 @@
 from samphirelug.components.backend.model import FailureKind
 from samphirelug.components.execution import const
 from samphirelug.components.execution import model
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import model as peers_model
 from samphirelug import result_codes
 from samphirelug.result_codes import ResultCode
 from tests.components.execution import world as world_module
@@ -311,7 +311,7 @@
     world.clock.advance(200.0)
     await stop_host(world, deliver_count=99)
     assert await call_other_host(world, token) is ResultCode.ENTRY_HOST_LOST
-    last_message = peer_model.OutcomeHandover("eh9-1", (), True, 9000)
+    last_message = peers_model.OutcomeHandover("eh9-1", (), True, 9000)
     unused = world.token()
     run_token = (
         world.issuer.decode(unused).unwrap()._replace(incarnation="eh9-1")
--- a/tests/components/execution/test_outcomes.py
+++ b/tests/components/execution/test_outcomes.py
@@ -9,7 +9,7 @@
 from samphirelug.components.execution import model
 from samphirelug.components.execution import outcomes
 from samphirelug.components.execution import tokens
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import model as peers_model
 from samphirelug import core
 from samphirelug.helpers import timer
 from samphirelug import result_codes
@@ -173,7 +173,7 @@
         assert peer.accept_handover(message)
     codes = {peer.handed_over_record(make_token(n)).code for n in "abcd"}
     assert codes <= {ResultCode.OK, ResultCode.OUTCOME_NOT_KEPT}
-    others = peer_model.OutcomeHandover("x-1", messages[-1].records, True, 9)
+    others = peers_model.OutcomeHandover("x-1", messages[-1].records, True, 9)
     assert not peer.accept_handover(others)
     fixture.clock.advance(181.0)
     lost = peer.handed_over_record(make_token("a"))
@@ -183,7 +183,7 @@
 def test_split_token_list_is_not_marked_complete() -> None:
     """Guard against a split list of tokens that is reported as complete."""
     records = tuple(
-        peer_model.OutcomeRecord(f"t{number}", 2002, "reset", None, 1)
+        peers_model.OutcomeRecord(f"t{number}", 2002, "reset", None, 1)
         for number in range(50)
     )
     messages = handover.build_messages(
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -22,7 +22,7 @@
 from samphirelug.components.execution import tokens
 from samphirelug.components.metrics import registry
 from samphirelug.components.peers import mesh
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import model as quota_model
 from samphirelug import core
 from samphirelug.helpers import timer
@@ -217,20 +217,20 @@
         self.name = name
         self.handlers: dict[type, mesh.Handler] = {}
 
-    def live_peers(self) -> tuple[peer_model.PeerView, ...]:
+    def live_peers(self) -> tuple[peers_model.PeerView, ...]:
         """Return the other running hosts with their clocks."""
         return tuple(
-            peer_model.PeerView(host.heartbeat(), self.world.now(), True)
+            peers_model.PeerView(host.heartbeat(), self.world.now(), True)
             for name, host in self.world.hosts.items()
             if name != self.name
         )
 
     async def request(
-        self, host: str, message: peer_model.Message, *, timeout_s: float
-    ) -> Result[peer_model.Message, result_codes.Refusal]:
+        self, host: str, message: peers_model.Message, *, timeout_s: float
+    ) -> Result[peers_model.Message, result_codes.Refusal]:
         """Return the reply; fails when the schedule loses a message."""
         done: asyncio.Future[
-            Result[peer_model.Message, result_codes.Refusal]
+            Result[peers_model.Message, result_codes.Refusal]
         ] = asyncio.get_running_loop().create_future()
 
         async def deliver(reply_lost: bool) -> None:
@@ -254,11 +254,11 @@
         finally:
             timeout.cancel()
 
-    def send(self, host: str, message: peer_model.Message) -> None:
+    def send(self, host: str, message: peers_model.Message) -> None:
         """Fail, since the executor only sends requests."""
         raise NotImplementedError(host, message)
 
-    def broadcast(self, message: peer_model.Message) -> None:
+    def broadcast(self, message: peers_model.Message) -> None:
         """Fail, since the executor only sends requests."""
         raise NotImplementedError(message)
 
@@ -299,9 +299,9 @@
             host=self.identity,
         )
 
-    def heartbeat(self) -> peer_model.Heartbeat:
+    def heartbeat(self) -> peers_model.Heartbeat:
         """Return the heartbeat that peers have received."""
-        return peer_model.Heartbeat(
+        return peers_model.Heartbeat(
             host=self.identity,
             state=core.EntryHostState.SERVING,
             clock_ms=self.outcomes.clock_ms(),
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -7,7 +7,7 @@
 from returns.result import Success
 
 from samphirelug.components.admission import model as admission_model
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import ledger as quota_ledger
 from samphirelug.components.quota import limits
 from samphirelug.components.quota import loans
@@ -26,20 +26,20 @@
         super().__init__(host)
         self.keys = ["region:tallinn"]
         self.delay_s = 0.0
-        self.sent: list[tuple[float, peer_model.Message]] = []
+        self.sent: list[tuple[float, peers_model.Message]] = []
 
     async def request(
-        self, host: str, message: peer_model.Message, *, timeout_s: float
-    ) -> Result[peer_model.Message, result_codes.Refusal]:
+        self, host: str, message: peers_model.Message, *, timeout_s: float
+    ) -> Result[peers_model.Message, result_codes.Refusal]:
         assert host == "eh2"
         assert timeout_s < 2.0
-        assert isinstance(message, peer_model.GrantRequest)
+        assert isinstance(message, peers_model.GrantRequest)
         await self.host.timer.sleep(self.delay_s)
         units = tuple(model.UnitAmount(key, 20) for key in self.keys)
         bundle = model.Bundle("tallinn", "s", units)
-        return Success(peer_model.Grant("l", (bundle, bundle), 2.0))
+        return Success(peers_model.Grant("l", (bundle, bundle), 2.0))
 
-    def send(self, host: str, message: peer_model.Message) -> None:
+    def send(self, host: str, message: peers_model.Message) -> None:
         assert host == "eh2"
         self.sent.append((self.host.timer.monotonic() - 1000.0, message))
 
@@ -54,10 +54,10 @@
     *,
     delay_s: float = 0.0,
     keys: tuple[str, ...] = ("region:tallinn",),
-) -> list[tuple[float, peer_model.Message]]:
+) -> list[tuple[float, peers_model.Message]]:
     """Borrow two bundles, run a check and return the messages sent."""
 
-    async def run() -> list[tuple[float, peer_model.Message]]:
+    async def run() -> list[tuple[float, peers_model.Message]]:
         sim = simulation.QuotaSimulation(seed=0, settings=simulation.SETTINGS)
         host = sim.start("eh1", "tartu-a")
         lender = sim.start("eh2", "tallinn-a")
@@ -110,8 +110,8 @@
     )
 
 
-def returned(number: int) -> peer_model.GrantReturn:
-    return peer_model.GrantReturn("l", number)
+def returned(number: int) -> peers_model.GrantReturn:
+    return peers_model.GrantReturn("l", number)
 
 
 def test_bundle_is_reused_until_the_loan_ends() -> None:
--- a/tests/history/hosts.py
+++ b/tests/history/hosts.py
@@ -24,8 +24,8 @@
 from samphirelug.components.gateway import io_operator
 from samphirelug.components.metrics import registry
 from samphirelug.components.peers import io_mesh
-from samphirelug.components.peers import mesh as peer_mesh
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import limits
 from samphirelug.components.store import io_http_store
 from samphirelug import const
@@ -46,7 +46,7 @@
 SECRET = "a secret of the test cluster"
 LEASE_S = 8.0
 KEEP_S = 3.0
-Answered = Callable[[peer_model.Message | None], None] | None
+Answered = Callable[[peers_model.Message | None], None] | None
 TASKS: set[asyncio.Task[Any]] = set()
 
 
@@ -104,13 +104,13 @@
         self.waiter.resolve(reply)
 
 
-class Mesh(peer_mesh.PeerMesh):
+class Mesh(peers_mesh.PeerMesh):
     """Send messages over the world's network."""
 
     def __init__(self, process: "HostProcess") -> None:
         self.process = process
-        self.handlers: dict[type, peer_mesh.Handler] = {}
-        self.views: dict[str, peer_model.PeerView] = {}
+        self.handlers: dict[type, peers_mesh.Handler] = {}
+        self.views: dict[str, peers_model.PeerView] = {}
         self.on_superseded: list[Callable[[], None]] = []
         self.early = False
 
@@ -129,14 +129,14 @@
             timer = self.process.timer
             timer.call_at(when_s=timer.monotonic() + 0.02, callback=self.beat)
 
-    def live_peers(self) -> tuple[peer_model.PeerView, ...]:
+    def live_peers(self) -> tuple[peers_model.PeerView, ...]:
         since_s = self.process.timer.monotonic() - const.PEER_TIMEOUT_S
         views = self.views.values()
         return tuple(view for view in views if view.heard_at_s >= since_s)
 
     async def request(
-        self, host: str, message: peer_model.Message, *, timeout_s: float
-    ) -> Result[peer_model.Message, result_codes.Refusal]:
+        self, host: str, message: peers_model.Message, *, timeout_s: float
+    ) -> Result[peers_model.Message, result_codes.Refusal]:
         waiter = Waiter()
         self.transmit(host, message, waiter.resolve)
         timer = self.process.timer
@@ -148,15 +148,15 @@
         code = result_codes.ResultCode.PEER_UNREACHABLE
         return Failure(result_codes.Refusal(code, host))
 
-    def send(self, host: str, message: peer_model.Message) -> None:
+    def send(self, host: str, message: peers_model.Message) -> None:
         self.transmit(host, message, None)
 
-    def broadcast(self, message: peer_model.Message) -> None:
+    def broadcast(self, message: peers_model.Message) -> None:
         for name in self.process.world.hosts:
             if name != self.process.host.name:
                 self.transmit(name, message, None)
 
-    def set_handler(self, kind: type, handler: peer_mesh.Handler) -> None:
+    def set_handler(self, kind: type, handler: peers_mesh.Handler) -> None:
         self.handlers[kind] = handler
 
     def beat(self) -> None:
@@ -165,7 +165,7 @@
         self.broadcast(self.process.heartbeat())
 
     def transmit(
-        self, name: str, message: peer_model.Message, answered: Answered
+        self, name: str, message: peers_model.Message, answered: Answered
     ) -> None:
         self.process.world.transmit(
             self.process,
@@ -176,13 +176,13 @@
     def receive(
         self,
         sender: "HostProcess",
-        message: peer_model.Message,
+        message: peers_model.Message,
         answered: Answered,
     ) -> None:
         name = sender.host.name
-        if isinstance(message, peer_model.Heartbeat):
+        if isinstance(message, peers_model.Heartbeat):
             now = self.process.timer.monotonic()
-            self.views[name] = peer_model.PeerView(message, now, True)
+            self.views[name] = peers_model.PeerView(message, now, True)
             for sighting in message.sightings:
                 self.process.health.apply_sighting(sighting)
             return
