--- a/src/samphirelug/components/forwarding/forwarder.py
+++ b/src/samphirelug/components/forwarding/forwarder.py
@@ -264,7 +264,11 @@
 def _final_result(
     summary: _AttemptSummary, refusal: result_codes.Refusal | None
 ) -> RequestResult:
-    """Return the strongest result that holds for all attempts."""
+    """Return the result of the request from all its attempts.
+
+    A server's error answer takes precedence, then an unknown outcome. Other
+    refusals state that no server has run the request.
+    """
     if summary.error_answer is not None:
         return Success(summary.error_answer)
     if summary.unknown_outcome is not None:
--- a/src/samphirelug/components/forwarding/retry_window.py
+++ b/src/samphirelug/components/forwarding/retry_window.py
@@ -6,7 +6,7 @@
 
 
 class RetryWindow:
-    """Allow retries up to a ratio of first attempts plus the host's slack."""
+    """Allow retries up to a ratio of first attempts and a share of slack."""
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
         self.ratio = ratio
--- a/src/samphirelug/components/placement/cold.py
+++ b/src/samphirelug/components/placement/cold.py
@@ -55,7 +55,7 @@
         )
 
     def remove(self, incarnation: Incarnation) -> None:
-        """Remove the state of an incarnation that is warm or has left."""
+        """Remove the state of an incarnation that has left."""
         self.next_allowed_at_s.pop(incarnation, None)
 
 
--- a/src/samphirelug/components/placement/const.py
+++ b/src/samphirelug/components/placement/const.py
@@ -19,7 +19,8 @@
 # Weight of the newest answer in a server's exponentially weighted mean
 # request time; it averages over about 5 answers.
 SERVER_TIME_EWMA_WEIGHT = 0.2
-# First pause after a failure of a server; doubles up to MAX_PAUSE_S.
+# First pause of a failing server; doubles up to MAX_PAUSE_S. Also the
+# Retry-After time of callers that are refused because no server is usable.
 INITIAL_PAUSE_S = 0.5
 MAX_PAUSE_S = 4.0
 # Consecutive failures after which a reachable server is paused.
@@ -33,7 +34,8 @@
 MAX_RETRY_AFTER_S = 0.8
 # Additional delay for each lower priority, as a fraction of the service time.
 PRIORITY_DELAY_RATIO = 0.25
-# Assumed time that a request occupies a slot until an answer was measured.
+# Assumed time that a request occupies a slot, used until the first answer has
+# been measured.
 INITIAL_SERVICE_TIME_S = 0.5
 # Weight of the newest answer in a service's exponentially weighted mean
 # service time; it averages over about 20 answers.
--- a/src/samphirelug/components/placement/ranking.py
+++ b/src/samphirelug/components/placement/ranking.py
@@ -1,4 +1,4 @@
-"""Order the servers for an object, equally on every entry host.
+"""Order the servers for an object identically on every entry host.
 
 A server handles requests for an object faster once it has handled that
 object. All requests for an object therefore go to the same few servers,
@@ -55,7 +55,7 @@
     def order(
         self, *, object_key: str, service: str, regions: frozenset[str]
     ) -> tuple[model.ServerInstance, ...]:
-        """Return the usable servers of the regions, of all if none given."""
+        """Return the usable servers in the regions; no regions means all."""
         if (
             self.generation != self.registry.generation
             or len(self.cache) >= const.MAX_CACHED_ORDERS
--- a/src/samphirelug/components/routing/split.py
+++ b/src/samphirelug/components/routing/split.py
@@ -17,8 +17,8 @@
     """
 
     def __init__(self) -> None:
-        # Requests that each service is short of its share, by route; only
-        # for routes with several services.
+        # Number of requests by which each service is below its share, by
+        # route; only for routes with several services.
         self.deficits: dict[
             str, tuple[tuple[model.Destination, ...], dict[str, float]]
         ] = {}
--- a/tests/components/placement/test_retry_after.py
+++ b/tests/components/placement/test_retry_after.py
@@ -38,8 +38,8 @@
     assert min(times) >= const.MIN_RETRY_AFTER_S
 
 
-def test_less_urgent_callers_retry_after_urgent_ones() -> None:
-    """Guard against a less urgent caller taking the slot that frees up."""
+def test_callers_with_a_lower_priority_retry_later() -> None:
+    """Guard against a lower priority taking the slot that frees up."""
     assert retry_times(1, priority=2)[0] > retry_times(1, priority=0)[0]
 
 
