--- a/src/samphirelug/components/admission/const.py
+++ b/src/samphirelug/components/admission/const.py
@@ -20,7 +20,8 @@
 LOAN_TIMEOUT_S = 0.25
 # Minimum interval between two requests for loans for the same flow.
 LOAN_REQUEST_INTERVAL_S = 0.05
-# Link bytes are to be reserved for a request that has been queued for longer.
+# Time in the queue after which link bytes are reserved for a request that
+# lacks them.
 LINK_RESERVATION_AFTER_S = 0.5
 # Maximum service margin, the time before its deadline at which a queued
 # request must be dispatched, as a fraction of its work entry's deadline.
--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -303,7 +303,7 @@
     def grant_units(
         self, request: peers_model.UnitRequest, *, borrower: str
     ) -> peers_model.UnitGrant:
-        """Lend units of single keys beyond the guaranteed fractions."""
+        """Lend plain units beyond the guaranteed fractions."""
         loan_id = self._loan_id(borrower)
         units: list[quota_model.UnitAmount] = []
         for key, amount in request.units:
@@ -679,8 +679,8 @@
         if rank is core.Rank.URGENT:
             return 0
         ranks = self._current_ranks()
-        parts = _guaranteed_parts_of(ranks.view, key)
-        if parts is None:
+        fractions = _guaranteed_fractions_of(ranks.view, key)
+        if fractions is None:
             return 0
         configured = ranks.configured
         if service is not None:
@@ -689,7 +689,7 @@
             rank=rank,
             usable=usable(key),
             used=self.usage.used(key, self.timer.monotonic()),
-            parts=parts,
+            fractions=fractions,
             configured=configured,
         )
 
@@ -1150,14 +1150,17 @@
     return f"slots:{service}@{region}"
 
 
-def _guaranteed_parts_of(
+def _guaranteed_fractions_of(
     view: catalogue_view.CatalogueView, key: str
 ) -> catalogue_model.GuaranteedFractions | None:
-    """Return the guaranteed fractions in the region of a quota key."""
-    kind, _, all_flows = key.partition(":")
+    """Return the guaranteed fractions in the region of a pool.
+
+    The region of a link is the one that its bytes are sent to.
+    """
+    kind, _, region = key.partition(":")
     if kind == "slots":
-        all_flows = all_flows.rpartition("@")[2]
+        region = region.rpartition("@")[2]
     elif kind == "link":
-        all_flows = all_flows.rpartition(">")[2]
-    entry = view.regions.get(all_flows)
+        region = region.rpartition(">")[2]
+    entry = view.regions.get(region)
     return entry["guaranteed"] if entry else None
--- a/src/samphirelug/components/admission/ports.py
+++ b/src/samphirelug/components/admission/ports.py
@@ -23,7 +23,7 @@
         """Ask peers for bundles unless such a request is in progress."""
 
     def request_units(self, *, key: str, needed: int) -> None:
-        """Ask peers for units of one key until this many are free."""
+        """Ask peers for plain units of a key until this many are free."""
 
     def take(
         self, *, work: str, region: str, home_region: str, body_bytes: int
--- a/src/samphirelug/components/admission/queue.py
+++ b/src/samphirelug/components/admission/queue.py
@@ -87,7 +87,7 @@
         self.count = 0
         # By region, in the order of the last attempt.
         self.shortages: dict[str, Shortage] = {}
-        # Value of the controller's counter at the last attempt.
+        # Value of AdmissionController.loan_arrivals at the last attempt.
         self.loan_arrivals = -1
         self.loans_requested_at_s = float("-inf")
 
--- a/src/samphirelug/components/admission/scheduler.py
+++ b/src/samphirelug/components/admission/scheduler.py
@@ -1,7 +1,8 @@
 """Divide units between ranks.
 
 Units are reserved for more urgent ranks. Less urgent ranks earn credits, which
-guarantee them a fraction of the dispatches.
+guarantee them a fraction of the dispatches. Both are counted by pool: a pool
+is a quota key, or all slots of a service in a region.
 """
 
 from collections.abc import Iterable
@@ -14,14 +15,14 @@
 
 
 def guaranteed_fraction(
-    parts: catalogue_model.GuaranteedFractions, rank: core.Rank
+    fractions: catalogue_model.GuaranteedFractions, rank: core.Rank
 ) -> float:
     """Return the fraction of the capacity that a rank is guaranteed."""
     if rank is core.Rank.URGENT:
-        return parts["urgent"]
+        return fractions["urgent"]
     if rank is core.Rank.INTERACTIVE:
-        return parts["interactive"]
-    return parts["export"]
+        return fractions["interactive"]
+    return fractions["export"]
 
 
 def reserved_for_more_urgent(
@@ -29,7 +30,7 @@
     rank: core.Rank,
     usable: int,
     used: list[int],
-    parts: catalogue_model.GuaranteedFractions,
+    fractions: catalogue_model.GuaranteedFractions,
     configured: frozenset[core.Rank],
 ) -> int:
     """Return the units that a rank must leave free for more urgent ranks.
@@ -37,7 +38,10 @@
     Only configured ranks, those with a work entry, reserve units.
     """
     return sum(
-        max(0, int(guaranteed_fraction(parts, other) * usable) - used[other])
+        max(
+            0,
+            int(guaranteed_fraction(fractions, other) * usable) - used[other],
+        )
         for other in configured
         if other < rank
     )
--- a/src/samphirelug/components/steering/const.py
+++ b/src/samphirelug/components/steering/const.py
@@ -16,6 +16,7 @@
 # Maximum excess of a server's latency over that of the other candidate, as a
 # ratio, that counts as cost.
 LATENCY_RATIO_MAX = 4.0
+# A cost of 1.0 is that of a server whose slots are all in use.
 LATENCY_COST = 0.25
 FAILURE_COST = 1.0
 # Load reports may be outdated or wrong, so they weigh less than the host's own
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -34,7 +34,7 @@
 
 
 def test_interactive_work_alone_uses_nine_tenths_of_the_region() -> None:
-    """Guards against units reserved for less urgent ranks that are idle."""
+    """Guard against idle units that are reserved for less urgent ranks."""
 
     async def test() -> None:
         await simulation.Harness().fill(11)
@@ -42,23 +42,23 @@
     run(test())
 
 
-def test_reserve_lets_urgent_work_in_during_a_flood_of_exports() -> None:
-    """Guards against less urgent work that takes the last free units."""
+def test_reserve_admits_urgent_work_during_overload_by_exports() -> None:
+    """Guard against less urgent work that takes the last free units."""
 
     async def test() -> None:
         harness = simulation.Harness()
-        flood = [harness.submit(harness.request(EXPORT)) for _ in range(50)]
+        exports = [harness.submit(harness.request(EXPORT)) for _ in range(50)]
         await simulation.settle()
-        assert sum(task.done() for task in flood) == 10
+        assert sum(task.done() for task in exports) == 10
         await harness.fill(1, URGENT)
-        for task in flood:
+        for task in exports:
             task.cancel()
 
     run(test())
 
 
 def test_released_unit_goes_to_the_most_urgent_earliest_deadline() -> None:
-    """Guards against first-come-first-served order in the queue."""
+    """Guard against first-come-first-served order in the queue."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -81,7 +81,7 @@
 
 
 def test_cancelled_caller_leaves_the_queue_and_gives_back_a_permit() -> None:
-    """Guards against leaked units when a caller closes its connection."""
+    """Guard against leaked units when a caller closes its connection."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -106,7 +106,7 @@
 
 
 def test_deadline_expires_promptly_in_the_queue() -> None:
-    """Guards against requests that stay queued beyond their deadline."""
+    """Guard against requests that stay queued beyond their deadline."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -119,7 +119,7 @@
 
 
 def test_blocked_work_entry_does_not_block_others_of_its_rank() -> None:
-    """Guards against head-of-line blocking by a work entry's limit."""
+    """Guard against head-of-line blocking by a work entry's limit."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -151,7 +151,7 @@
 
 
 def test_full_home_region_queues_rather_than_spills() -> None:
-    """Guards against shifting requests that could soon be served at home."""
+    """Guard against shifting requests that could soon be served at home."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
@@ -168,8 +168,8 @@
     run(test())
 
 
-def test_shift_cap_holds_when_every_home_server_is_dead() -> None:
-    """Guards against exceeding the shift cap with a failed region's load."""
+def test_shift_cap_holds_when_every_home_server_has_failed() -> None:
+    """Guard against exceeding the shift cap with a failed region's load."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
@@ -205,7 +205,7 @@
     ],
 )
 def test_refusal_names_the_cause(condition: str, expected: Code) -> None:
-    """Guards against refusals that mislead the operator about the cause."""
+    """Guard against refusals that mislead the operator about the cause."""
 
     async def test() -> None:
         seats = () if condition == "no_seat" else ("tallinn",)
@@ -240,7 +240,7 @@
 
 
 def test_bundle_of_a_leaving_server_is_given_back_unused() -> None:
-    """Guards against loans for leaving servers, and an endless loop."""
+    """Guard against use of leaving servers by loan, and an endless loop."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=())
@@ -262,7 +262,7 @@
 
 
 def test_lender_keeps_the_reserve_of_more_urgent_ranks() -> None:
-    """Guards against lending units that are reserved for urgent work."""
+    """Guard against lending units that are reserved for urgent work."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -317,7 +317,7 @@
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_host_without_units_borrows_or_refuses(reachable: bool) -> None:
-    """Guards against unused loans, and endless waits for a loan."""
+    """Guard against unused loans, and endless waits for a loan."""
 
     async def test() -> None:
         lender = simulation.Harness()
@@ -345,7 +345,7 @@
 
 
 def test_finish_twice_frees_units_once() -> None:
-    """Guards against releasing the same units twice."""
+    """Guard against releasing the same units twice."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -370,7 +370,7 @@
 def test_every_schedule_ends_with_all_units_free(
     steps: list[tuple[str, int]],
 ) -> None:
-    """Guards against leaked units and requests that stay queued."""
+    """Guard against leaked units and requests that stay queued."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
--- a/tests/components/admission/test_flood.py
+++ b/tests/components/admission/test_flood.py
@@ -21,8 +21,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_urgent_work_is_served_through_a_flood_of_exports(seed: int) -> None:
-    """Guards against overload of less urgent work slowing urgent work."""
+def test_urgent_work_is_served_during_overload_by_exports(seed: int) -> None:
+    """Guard against overload by less urgent work that delays urgent work."""
     loads = (load(URGENT, 0.5), load(INTERACTIVE, 0.2), load(EXPORT, 10.0))
     counts = asyncio.run(
         simulation.simulate(loads, duration_s=DURATION_S, seed=seed)
@@ -34,8 +34,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ranks_keep_their_part_in_a_flood_of_urgent_work(seed: int) -> None:
-    """Guards against starvation, also while the other rank is idle."""
+def test_less_urgent_ranks_keep_their_guaranteed_fraction(seed: int) -> None:
+    """Guard against starvation by urgent work, with one rank or both busy."""
     for less_urgent in ((INTERACTIVE, EXPORT), (EXPORT,)):
         loads = (
             load(URGENT, 10.0),
--- a/tests/components/steering/test_health.py
+++ b/tests/components/steering/test_health.py
@@ -22,7 +22,7 @@
 
 
 def test_each_signal_marks_a_server_as_leaving_and_is_published_once() -> None:
-    """Guards against ignored signals, and sightings repeated endlessly."""
+    """Guard against ignored signals, and sightings repeated endlessly."""
     for signal in range(4):
         _, health = make_health()
         published: list[peers_model.Sighting] = []
@@ -42,7 +42,7 @@
 
 
 def test_only_the_next_incarnation_clears_an_own_observation() -> None:
-    """Guards against an old report or list that clears a leaving signal."""
+    """Guard against an old report or list that clears a leaving signal."""
     _, health = make_health()
     health.apply_report(make_report("a"))
     health.attempt_ended("s", latency_s=0.1, failure=Kind.LEAVING)
@@ -59,7 +59,7 @@
 
 
 def test_later_list_revision_clears_what_the_list_reported() -> None:
-    """Guards against a server that stays leaving after the list clears it."""
+    """Guard against a server that stays leaving after the list clears it."""
     _, health = make_health()
     health.apply_host_list(revision=5, live=(), leaving=("s",))
     health.apply_host_list(revision=5, live=("s",), leaving=())
@@ -69,7 +69,7 @@
 
 
 def test_clearing_reaches_a_peer_by_its_sighting() -> None:
-    """Guards against peers that repeat each other's outdated sightings."""
+    """Guard against peers that repeat each other's outdated sightings."""
     _, first = make_health()
     _, second = make_health()
     first.on_sighting.append(second.apply_sighting)
@@ -82,7 +82,7 @@
 
 
 def test_failing_server_is_probed_and_ramped_before_use() -> None:
-    """Guards against traffic to a server that refuses connections."""
+    """Guard against traffic to a server that refuses connections."""
     timer, health = make_health()
     for _ in range(3):
         health.attempt_ended("s", latency_s=0.0, failure=Kind.NOT_SENT)
@@ -102,7 +102,7 @@
 
 
 def test_cancelled_attempt_does_not_count_as_success() -> None:
-    """Guards against cancelled requests that hide a slow server."""
+    """Guard against cancelled requests that hide a slow server."""
     _, health = make_health()
     health.attempt_ended("s", latency_s=5.0, failure=Kind.TIMEOUT)
     health.attempt_ended("s", latency_s=5.0, failure=Kind.TIMEOUT)
--- a/tests/components/steering/test_lookup.py
+++ b/tests/components/steering/test_lookup.py
@@ -50,7 +50,7 @@
 
 
 def test_nearest_serving_hosts_come_first() -> None:
-    """Guards against distant, leaving or lagging hosts in answers."""
+    """Guard against distant, leaving or lagging hosts in answers."""
     harness = LookupHarness(
         make_heartbeat("eh2", "tartu-a"),
         make_heartbeat("eh3", "tartu-b"),
@@ -63,7 +63,7 @@
 
 
 def test_answer_is_reused_but_its_run_token_is_not() -> None:
-    """Guards against one run token for two requests."""
+    """Guard against one run token for two requests."""
     harness = LookupHarness()
     first = harness.planner.answer(work="file-claim", place="tallinn").unwrap()
     second = harness.planner.answer(
@@ -82,7 +82,7 @@
 
 
 def test_answers_of_one_period_share_one_heartbeat_and_its_end() -> None:
-    """Guards against a heartbeat built for each place, and stale answers."""
+    """Guard against a heartbeat built for each place, and stale answers."""
     harness = LookupHarness(make_heartbeat("eh2", "tartu-a"))
     built = []
 
@@ -101,7 +101,7 @@
 
 
 def test_rank_that_waits_everywhere_is_refused_at_the_look_up() -> None:
-    """Guards against directing callers to queues that refuse them."""
+    """Guard against directing callers to queues that refuse them."""
     harness = LookupHarness(
         make_heartbeat("eh2", "tartu-a", wait_s=(0.0, 0.0, 6.0))
     )
@@ -115,7 +115,7 @@
 
 
 def test_work_whose_service_has_free_slots_is_not_refused() -> None:
-    """Guards against refusing a whole rank for overload by one work entry."""
+    """Guard against refusing a whole rank for overload by one work entry."""
     headroom = peers_model.RegionHeadroom("tallinn", "filing", 1, 12)
     harness = LookupHarness()
     harness.own = harness.own._replace(
@@ -128,7 +128,7 @@
 
 
 def test_headroom_divides_callers_between_equally_near_hosts() -> None:
-    """Guards against listing the same host first for all callers."""
+    """Guard against listing the same host first for all callers."""
     headroom = peers_model.RegionHeadroom("tallinn", "filing", 9, 12)
     harness = LookupHarness(
         make_heartbeat("eh2", "tallinn-a", headroom=(headroom,))
--- a/tests/components/steering/test_planner.py
+++ b/tests/components/steering/test_planner.py
@@ -19,7 +19,7 @@
 
 
 def test_home_region_comes_first() -> None:
-    """Guards against serving requests outside their home region."""
+    """Guard against serving requests outside their home region."""
     harness = simulation.Harness()
     regions = harness.planner.regions_for_request(
         harness.request(home="tartu")
@@ -29,7 +29,7 @@
 
 
 def test_leaving_excluded_and_full_servers_are_not_chosen() -> None:
-    """Guards against requests to servers that must not receive any."""
+    """Guard against requests to servers that must not receive any."""
     harness = simulation.Harness()
     health = harness.health
     leaving = "filing-tallinn-a-0"
@@ -48,7 +48,7 @@
 
 
 def test_busy_and_slow_servers_are_chosen_less() -> None:
-    """Guards against a selection that ignores observed load and latency."""
+    """Guard against a selection that ignores observed load and latency."""
     harness = simulation.Harness()
     for name in harness.catalogue.view.servers:
         slow = name == "filing-tallinn-a-0"
@@ -62,7 +62,7 @@
 
 
 def test_old_load_report_counts_as_missing() -> None:
-    """Guards against selecting servers by stale load reports."""
+    """Guard against selecting servers by stale load reports."""
     harness = simulation.Harness()
     server = harness.catalogue.view.servers["filing-tallinn-a-0"]
     usual = harness.planner.cost(server, reference_latency_s=0.0)
