--- a/src/samphirelug/components/quota/limits.py
+++ b/src/samphirelug/components/quota/limits.py
@@ -76,7 +76,7 @@
         add(region_key(region), group, entry["max_in_flight"])
         # Extended by the clock drift, so that the cap also holds in a window
         # measured on a slower clock.
-        release_delay_s = cap["interval_s"] * (1.0 + const.CLOCK_DRIFT)
+        release_delay_s = cap["interval_s"] * (1.0 + const.MAX_CLOCK_DRIFT)
         add(shift_key(region), group, cap["requests"], release_delay_s)
     for server in view.servers.values():
         group = region_group(server.zone.region)
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -72,7 +72,7 @@
     key: str
     lender: str
     grant: peers_model.UnitGrant
-    sent_s: float
+    sent_at_s: float
 
 
 class Borrower:
@@ -104,7 +104,7 @@
         self._unit_loans: list[UnitLoan] = []
         self._unit_tasks: dict[str, asyncio.Task[None]] = {}
         self._unit_backoff: dict[str, float] = {}
-        self._unit_requested_s: dict[str, float] = {}
+        self._unit_requested_at_s: dict[str, float] = {}
         self._unit_check_timer: timer_helper.Subscription | None = None
         # Seeded by incarnation, so that two hosts that each received part of
         # the units that both need retry at different times.
@@ -201,7 +201,7 @@
     def request_units(self, *, key: str, needed: int) -> None:
         """Ask peers for plain units until the needed number is free here."""
         now = self.timer.monotonic()
-        self._unit_requested_s[key] = now
+        self._unit_requested_at_s[key] = now
         if key in self._unit_tasks or now < self._unit_backoff.get(key, 0.0):
             return
         task = asyncio.get_running_loop().create_task(
@@ -225,7 +225,7 @@
             ) - _total_units(loans)
             if missing <= 0 or requested <= 0:
                 break
-            sent_s = self.timer.monotonic()
+            sent_at_s = self.timer.monotonic()
             answer = await self.mesh.request(
                 lender,
                 peers_model.UnitRequest((model.UnitAmount(key, requested),)),
@@ -233,7 +233,7 @@
             )
             grant = answer.value_or(None)
             if isinstance(grant, peers_model.UnitGrant) and grant.units:
-                loans.append(UnitLoan(key, lender, grant, sent_s))
+                loans.append(UnitLoan(key, lender, grant, sent_at_s))
         if _total_units(loans) < needed - self.ledger.free(key):
             wait_s = self._rng.uniform(1.0, 3.0) * REFUSED_BACKOFF_S
             self._unit_backoff[key] = self.timer.monotonic() + wait_s
@@ -245,7 +245,8 @@
             self.ledger.borrow(
                 loan.grant.units,
                 loan_id=loan.grant.loan_id,
-                until_s=loan.sent_s + duration_s * (1.0 - const.CLOCK_DRIFT),
+                until_s=loan.sent_at_s
+                + duration_s * (1.0 - const.MAX_CLOCK_DRIFT),
             )
         self._unit_loans.extend(loans)
         self._schedule_unit_check()
@@ -275,12 +276,12 @@
         remaining: list[UnitLoan] = []
         for loan in self._unit_loans:
             loan_id = loan.grant.loan_id
-            requested_s = self._unit_requested_s.get(loan.key, -math.inf)
+            requested_at_s = self._unit_requested_at_s.get(loan.key, -math.inf)
             in_demand = (
-                now - requested_s < UNIT_IDLE_S
-                and now < loan.sent_s + const.LOAN_S
+                now - requested_at_s < UNIT_IDLE_S
+                and now < loan.sent_at_s + const.LOAN_S
             )
-            if now >= loan.sent_s + UNIT_LOAN_MAX_S:
+            if now >= loan.sent_at_s + UNIT_LOAN_MAX_S:
                 self.ledger.drop_borrowed(loan_id)
             elif not in_demand and self.ledger.return_borrowed(loan_id):
                 self._return_units(loan)
@@ -298,7 +299,7 @@
         self, scope: LoanScope, request: peers_model.GrantRequest
     ) -> None:
         for lender in self._lenders(scope)[:MAX_LENDERS_ASKED]:
-            sent_s = self.timer.monotonic()
+            sent_at_s = self.timer.monotonic()
             answer = await self.mesh.request(
                 lender, request, timeout_s=GRANT_TIMEOUT_S
             )
@@ -307,7 +308,7 @@
                 now = self.timer.monotonic()
                 self._backoff[(lender, scope)] = now + REFUSED_BACKOFF_S
                 continue
-            self._store_bundles(scope, request, lender, grant, sent_s)
+            self._store_bundles(scope, request, lender, grant, sent_at_s)
             return
 
     def _lenders(self, scope: LoanScope) -> list[str]:
@@ -342,10 +343,10 @@
         request: peers_model.GrantRequest,
         lender: str,
         grant: peers_model.Grant,
-        sent_s: float,
+        sent_at_s: float,
     ) -> None:
         duration_s = min(grant.duration_s, const.LOAN_S)
-        until_s = sent_s + duration_s * (1.0 - const.CLOCK_DRIFT)
+        until_s = sent_at_s + duration_s * (1.0 - const.MAX_CLOCK_DRIFT)
         for number, bundle in enumerate(grant.bundles, start=1):
             keys = [unit.key for unit in bundle.units]
             crosses_link = any(key.startswith("link:") for key in keys)
--- a/src/samphirelug/components/quota/seat_keeper.py
+++ b/src/samphirelug/components/quota/seat_keeper.py
@@ -30,11 +30,11 @@
 
 
 class CatalogueSource(Protocol):
-    """Provide the catalogue in force, as CatalogueState does."""
+    """Provide the catalogue in force; implemented by CatalogueState."""
 
     @property
     def view(self) -> catalogue_view.CatalogueView:
-        """Return the current view, which is replaced at each change."""
+        """Return the current view, replaced as a whole at each change."""
 
 
 class GroupState:
@@ -58,7 +58,7 @@
         # Lowest units per key in the pending writes. Other hosts may already
         # use the units above them.
         self.pending_units: dict[str, int] = {}
-        self.next_poll_s = -math.inf
+        self.next_poll_at_s = -math.inf
         self.renew_at_s = -math.inf
         self.polls = 0
         self.failures = 0
@@ -152,7 +152,7 @@
             if state is None:
                 state = self.groups[group] = GroupState(group=group)
             self._update_group(state, groups.get(group), now)
-            if state.next_poll_s <= now and not state.lock.locked():
+            if state.next_poll_at_s <= now and not state.lock.locked():
                 task = asyncio.get_running_loop().create_task(
                     self._try_reconcile(state)
                 )
@@ -231,7 +231,7 @@
         if leaving or imbalance.large_excess or imbalance.deficit:
             state.polls = 0
             poll_at_s = now + self.rng.random() * self._spread_s(state)
-            state.next_poll_s = min(state.next_poll_s, poll_at_s)
+            state.next_poll_at_s = min(state.next_poll_at_s, poll_at_s)
 
     def _compare_with_fair_shares(self, state: GroupState) -> seats.Imbalance:
         return seats.compare_with_fair_shares(
@@ -276,9 +276,9 @@
         own_seat = state.table.seats.get(self.host.name)
         if own_seat is not None and not self._owns_seat(state, own_seat, now):
             self._schedule_poll(state, now)
-            takeover_s = self.started_at_s + state.longest_hold_s
-            if now < takeover_s:
-                state.next_poll_s = min(state.next_poll_s, takeover_s)
+            takeover_at_s = self.started_at_s + state.longest_hold_s
+            if now < takeover_at_s:
+                state.next_poll_at_s = min(state.next_poll_at_s, takeover_at_s)
             return
         plan = self._plan_seat(state, now)
         settled = not plan.changed and state.pending_revision is None
@@ -337,7 +337,9 @@
         lease_and_hold_s = self.settings.lease_s + state.longest_hold_s
         # The holder's clock may run slower than this one's.
         drift_s = (
-            lease_and_hold_s * const.CLOCK_DRIFT / (1.0 - const.CLOCK_DRIFT)
+            lease_and_hold_s
+            * const.MAX_CLOCK_DRIFT
+            / (1.0 - const.MAX_CLOCK_DRIFT)
         )
         return state.tracker.expired(
             now=now,
@@ -385,7 +387,9 @@
             "seat table %s was not written: %s", state.key, refusal.detail
         )
         if refusal.code == result_codes.ResultCode.STORE_CONFLICT:
-            state.next_poll_s = now + self.rng.random() * self._spread_s(state)
+            state.next_poll_at_s = now + self.rng.random() * self._spread_s(
+                state
+            )
         else:
             self._retry_later(state)
 
@@ -454,19 +458,19 @@
         if seat is None:
             self.ledger.drop_seat(state.group)
             return
-        sent_s = state.sent_at_s.get(seat.renewal, -math.inf)
+        sent_at_s = state.sent_at_s.get(seat.renewal, -math.inf)
         state.sent_at_s = {
             renewal: when_s
             for renewal, when_s in state.sent_at_s.items()
             if renewal >= seat.renewal
         }
         # A poll in the second half of the interval also renews the lease.
-        state.renew_at_s = sent_s + self.settings.renew_interval_s / 2
+        state.renew_at_s = sent_at_s + self.settings.renew_interval_s / 2
         self.ledger.set_seat(
             group=state.group,
             units=seat.units,
             limits=seat.limits,
-            valid_until_s=sent_s + self.settings.lease_s,
+            valid_until_s=sent_at_s + self.settings.lease_s,
             cap=self._usage_cap(state),
         )
 
@@ -482,14 +486,14 @@
             state.polls += 1
             wait_s = self._spread_s(state) * 2.0 ** min(doublings, 30)
             wait_s *= self.rng.uniform(0.5, 1.0)
-            state.next_poll_s = now + min(wait_s, renew_interval_s)
+            state.next_poll_at_s = now + min(wait_s, renew_interval_s)
             # The units of a stopped host become free at a known time.
             jitter_s = self.rng.random() * self._spread_s(state)
-            free_at_s = max(now, state.tracker.next_free_s()) + jitter_s
-            state.next_poll_s = min(state.next_poll_s, free_at_s)
+            free_at_s = max(now, state.tracker.next_free_at_s()) + jitter_s
+            state.next_poll_at_s = min(state.next_poll_at_s, free_at_s)
             return
         state.polls = 0
-        state.next_poll_s = now + renew_interval_s
+        state.next_poll_at_s = now + renew_interval_s
 
     def _retry_later(self, state: GroupState) -> None:
         wait_s = min(
@@ -497,6 +501,6 @@
             self.settings.retry_max_s,
         )
         state.failures += 1
-        state.next_poll_s = self.timer.monotonic() + wait_s * self.rng.uniform(
-            0.5, 1.0
+        state.next_poll_at_s = (
+            self.timer.monotonic() + wait_s * self.rng.uniform(0.5, 1.0)
         )
--- a/src/samphirelug/components/quota/seats.py
+++ b/src/samphirelug/components/quota/seats.py
@@ -149,7 +149,7 @@
 def fair_share(
     *, limits: Mapping[str, int], host: str, hosts: frozenset[str]
 ) -> dict[str, int]:
-    """Return a host's part of each limit, split evenly between hosts."""
+    """Return a host's share of each limit, split evenly between hosts."""
     shares: dict[str, int] = {}
     names = [name.encode() for name in hosts]
     for key, limit in limits.items():
@@ -336,7 +336,7 @@
                 seen[host] = (seat.incarnation, seat.renewal, now)
         self.seen = seen
         self.free_after_s = {
-            host: seat.free_after_s / (1.0 - const.CLOCK_DRIFT)
+            host: seat.free_after_s / (1.0 - const.MAX_CLOCK_DRIFT)
             for host, seat in table.seats.items()
             if seat.free_after_s is not None
         }
@@ -349,11 +349,11 @@
         """
         return frozenset(
             host
-            for host, (_, _, since_s) in self.seen.items()
-            if now - since_s >= min(wait_s, self._free_after(host))
+            for host, (_, _, first_seen_at_s) in self.seen.items()
+            if now - first_seen_at_s >= min(wait_s, self._free_after(host))
         )
 
-    def next_free_s(self) -> float:
+    def next_free_at_s(self) -> float:
         """Return when the next units of a stopping holder become free."""
         return min(
             (
--- a/src/samphirelug/components/steering/planner.py
+++ b/src/samphirelug/components/steering/planner.py
@@ -12,7 +12,7 @@
 
 
 class CatalogueSource(Protocol):
-    """Provide the catalogue in force."""
+    """Provide the catalogue in force; implemented by CatalogueState."""
 
     @property
     def view(self) -> catalogue_view.CatalogueView:
--- a/tests/components/quota/test_ledger.py
+++ b/tests/components/quota/test_ledger.py
@@ -274,7 +274,7 @@
 
 
 def test_hold_and_release_are_fast() -> None:
-    """Each request runs this on the single event loop."""
+    """A slow ledger would delay all requests, which share an event loop."""
     ledger, _ = make_ledger()
     bundle = make_bundle(1)
     best_s = min(_mean_duration_s(ledger, bundle) for _ in range(5))
--- a/tests/components/quota/test_seat_keeper.py
+++ b/tests/components/quota/test_seat_keeper.py
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_limits_hold_through_faults(seed: int) -> None:
-    """The simulation fails at a dispatch that exceeds a limit."""
+    """Faults must not let hosts use the same units, which fails the run."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         rng = random.Random(seed)
@@ -139,7 +139,10 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_borrowed_bytes_do_not_exceed_a_link_limit(seed: int) -> None:
-    """Each request needs more bytes than its host's own share has."""
+    """Units must not be used by lender and borrower at the same time.
+
+    Each request needs more bytes than its host's own share has.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         rng = random.Random(seed)
@@ -320,7 +323,7 @@
 
 
 def test_store_outage_beyond_the_lease_stops_use_until_it_ends() -> None:
-    """Units are usable as long as the lease lasts, and no longer."""
+    """Other hosts may use the units once the lease has ended."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -399,7 +402,7 @@
             gets = core.calls["get"]
             for host in sim.hosts.values():
                 for state in host.keeper.groups.values():
-                    state.next_poll_s = 0.0
+                    state.next_poll_at_s = 0.0
             await sim.run(1.5)
             assert core.calls["get"] > gets
             assert usable_units(sim) == before
--- a/tests/components/quota/test_seats.py
+++ b/tests/components/quota/test_seats.py
@@ -139,7 +139,10 @@
 
 
 def test_seat_expires_when_its_renewal_stops_changing() -> None:
-    """Only the time since the last change counts, on the local clock."""
+    """A seat must not expire while its holder renews it.
+
+    Only the time since the last change counts, on the local clock.
+    """
     tracker = seats.SeatTracker()
     seat = model.Seat("a", "a", "a", 1, {}, {})
     tracker.observe(model.SeatTable(GROUP, {"a": seat}), now=0.0)
