--- a/src/samphirelug/components/fleet/const.py
+++ b/src/samphirelug/components/fleet/const.py
@@ -1,4 +1,4 @@
-"""Define the notices and intervals of failure detection of entry hosts."""
+"""Define the notices and times used to detect failed entry hosts."""
 
 # Kinds of notices:
 # - BEAT is the heartbeat of a running host.
@@ -18,7 +18,7 @@
 # A monitor asks a host that has been silent this long: two beats may be lost.
 ASK_AFTER_S = 1.6
 # A host that has been silent this long is absent. Until then look-up answers
-# still name it, and its callers wait for a time-out of one second.
+# still list it, and its callers wait for a time-out of one second.
 ABSENT_AFTER_S = 2.75
 # A longer gap between two ticks means that this process was suspended. The
 # event loop of a healthy process is never delayed this long.
@@ -26,6 +26,6 @@
 # Notices other than BEAT and ASK are sent a second time after this delay,
 # since datagrams may be lost.
 RESEND_DELAY_S = 0.3
-# Interval between two reads of the store's list, which shows new hosts.
+# Interval between two reads of the list in the store, which has new hosts.
 LIST_INTERVAL_S = 2.0
 KIND = "entry-hosts"
--- a/src/samphirelug/components/store/follower.py
+++ b/src/samphirelug/components/store/follower.py
@@ -19,9 +19,8 @@
 WATCH_TIMEOUT_S = 25.0
 # Timeout of the watches that check whether the store is available again.
 PROBE_WATCH_TIMEOUT_S = 0.05
-# A host that was cut off from the store has a limited time to learn which
-# servers have left. Calling again after these delays takes only a small part
-# of it.
+# Delays between calls while the store does not answer. They are short, since
+# after an outage a host soon has to know which servers have left.
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.3
 # Pause after received changes, so that changes in quick succession arrive in
--- a/tests/components/fleet/test_roster.py
+++ b/tests/components/fleet/test_roster.py
@@ -94,7 +94,7 @@
 
 
 def test_suspended_process_marks_no_other_host_absent() -> None:
-    """Guard against counting the own suspension as silence of other hosts."""
+    """Guard against taking its own suspension for silence of other hosts."""
     fleet = Fleet(6)
     fleet.run(5)
     fleet.now += 30.0
--- a/tests/components/store/test_io_http_store.py
+++ b/tests/components/store/test_io_http_store.py
@@ -20,6 +20,7 @@
 
 
 def make_client(port: int) -> io_http_store.HttpObjectStore:
+    """Return a client with short timeouts."""
     return io_http_store.HttpObjectStore(
         base_url=f"http://127.0.0.1:{port}",
         budget=budget.CallBudget(timer=timer_helper.LoopTimerService()),
@@ -33,6 +34,8 @@
         Awaitable[None],
     ],
 ) -> None:
+    """Run a scenario against a stand-in store without objects."""
+
     async def run() -> None:
         core = store_standin.StoreCore()
         client = make_client(store_standin.listen(core, port=0))
@@ -42,7 +45,8 @@
     asyncio.run(run())
 
 
-def code_of(result: object) -> result_codes.ResultCode:
+def failure_code(result: object) -> result_codes.ResultCode:
+    """Return the code of a failed call."""
     assert isinstance(result, Failure)
     code = result.failure().code
     assert isinstance(code, result_codes.ResultCode)
@@ -60,10 +64,12 @@
         ).unwrap()
         assert first.revision == 1
         conflict = await client.put("a/b", {"n": 2}, expected_revision=0)
-        assert code_of(conflict) is result_codes.ResultCode.STORE_CONFLICT
+        assert failure_code(conflict) is result_codes.ResultCode.STORE_CONFLICT
         assert (await client.get("a/b")) == Success(first)
         missing = await client.get("a/c")
-        assert code_of(missing) is result_codes.ResultCode.OBJECT_NOT_FOUND
+        assert (
+            failure_code(missing) is result_codes.ResultCode.OBJECT_NOT_FOUND
+        )
         listing = (await client.list("a/")).unwrap()
         assert listing == (1, (first,))
         assert core.calls == {"put": 2, "get": 2, "list": 1}
@@ -110,9 +116,9 @@
         core: store_standin.StoreCore, client: io_http_store.HttpObjectStore
     ) -> None:
         core.faults.update(faults)
-        assert code_of(await client.get("a")).name == read
+        assert failure_code(await client.get("a")).name == read
         result = await client.put("a", {}, expected_revision=0)
-        assert code_of(result).name == write
+        assert failure_code(result).name == write
         assert core.revision == written
 
     run_with_store(scenario)
@@ -131,7 +137,7 @@
             await client.put("a", {}, expected_revision=0),
             await client.watch("a", after=0, timeout_s=0.1),
         ):
-            code = code_of(result)
+            code = failure_code(result)
             assert code is result_codes.ResultCode.STORE_UNAVAILABLE
         client.close()
 
