--- a/src/samphirelug/components/commands/__init__.py
+++ b/src/samphirelug/components/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Implement the operator commands."""
+"""Implement the commands of the command line."""
--- a/src/samphirelug/components/commands/catalogue.py
+++ b/src/samphirelug/components/commands/catalogue.py
@@ -1,4 +1,4 @@
-"""Read and change catalogue entries."""
+"""Provide the commands that read and change catalogue entries."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -30,9 +30,11 @@
 
 Value = TypeVar("Value")
 
-ASK_TIMEOUT_S = 2.0
-# A command writes one entry after the other; an operator's file may hold a
-# whole catalogue, which must not be held up by the budget of a host.
+# Timeout of one query while a command waits for its change to be in force.
+STATUS_TIMEOUT_S = 2.0
+# Limits on the store calls of one command. A command writes entries one by
+# one, and an operator's file may hold a whole catalogue, whose writing the
+# lower budget of an entry host would delay.
 COMMAND_LIMITS: Mapping[budget.CallKind, budget.CallLimit] = {
     budget.CallKind.READ: budget.CallLimit(calls_per_s=20.0, burst=50),
     budget.CallKind.WRITE: budget.CallLimit(calls_per_s=20.0, burst=50),
@@ -51,7 +53,7 @@
     as_json: settings.Json = False,
 ) -> None:
     """Print an entry with its revision, ready to edit and apply."""
-    catalogue = _load(store_url, as_json=as_json)
+    catalogue = _load_catalogue(store_url, as_json=as_json)
     if key in catalogue.invalid:
         output.fail(
             result_codes.Refusal(
@@ -88,7 +90,7 @@
     as_json: settings.Json = False,
 ) -> None:
     """List the entries with their revisions and owners."""
-    catalogue = _load(store_url, as_json=as_json)
+    catalogue = _load_catalogue(store_url, as_json=as_json)
     rows = [
         (
             key,
@@ -115,11 +117,11 @@
     store_url: settings.OptionalStoreUrl = None,
     as_json: settings.Json = False,
 ) -> None:
-    """Check entries, against the store's catalogue if it is given."""
-    wanted = _read(files, as_json=as_json).entries
+    """Validate entries, against the store's catalogue if it is given."""
+    wanted = _read_files(files, as_json=as_json).entries
     catalogue = catalogue_writer.Catalogue(0, {}, {}, {})
     if store_url is not None:
-        catalogue = _load(store_url, as_json=as_json)
+        catalogue = _load_catalogue(store_url, as_json=as_json)
     ordered = catalogue_writer.order_changes(catalogue, wanted)
     if not isinstance(ordered, Success):
         output.fail(ordered.failure(), as_json=as_json)
@@ -136,8 +138,8 @@
     as_json: settings.Json = False,
 ) -> None:
     """Show how files differ from the store's catalogue."""
-    wanted = _read(files, as_json=as_json).entries
-    catalogue = _load(store_url, as_json=as_json)
+    wanted = _read_files(files, as_json=as_json).entries
+    catalogue = _load_catalogue(store_url, as_json=as_json)
     changes = catalogue_diff.changed_entries(
         current=catalogue.entries, wanted=wanted
     )
@@ -146,8 +148,8 @@
             [
                 {
                     "key": change.key,
-                    "before": _plain(change.before),
-                    "after": _plain(change.after),
+                    "before": _dump_or_none(change.before),
+                    "after": _dump_or_none(change.after),
                 }
                 for change in changes
             ]
@@ -168,11 +170,11 @@
 ) -> None:
     """Write entries one by one, in an order that keeps references valid."""
     urls = settings.require_urls(entry_host_url) if wait else None
-    found = _read(files, as_json=as_json)
-    _change(
+    changes = _read_files(files, as_json=as_json)
+    _apply_changes(
         store_url,
-        found.entries,
-        found.expected,
+        changes.entries,
+        changes.expected,
         urls=urls,
         timeout_s=timeout_s,
         as_json=as_json,
@@ -189,9 +191,9 @@
     timeout_s: settings.TimeoutSeconds = 10.0,
     as_json: settings.Json = False,
 ) -> None:
-    """Delete entries; one that others refer to is not deleted."""
+    """Delete entries, except those that other entries refer to."""
     urls = settings.require_urls(entry_host_url) if wait else None
-    _change(
+    _apply_changes(
         store_url,
         dict.fromkeys(keys),
         {} if revision is None else dict.fromkeys(keys, revision),
@@ -210,11 +212,11 @@
 ) -> None:
     """Show the catalogue position of every host.
 
-    With a revision it ends with NOT_IN_FORCE while a host lacks it.
+    With a revision, fail with NOT_IN_FORCE if a host has not reached it.
     """
     urls = settings.require_urls(entry_host_url)
     statuses = asyncio.run(
-        io_entry_host.catalogue_statuses(urls, timeout_s=timeout_s)
+        io_entry_host.fetch_catalogue_statuses(urls, timeout_s=timeout_s)
     )
     if as_json:
         output.print_json(statuses)
@@ -229,12 +231,12 @@
         raise typer.Exit(refusal.code.exit_code)
     if revision is None:
         return
-    spread = in_force.spread_of(statuses, revision=revision, keys=())
-    if not spread.complete:
+    propagation = in_force.merge_statuses(statuses, revision=revision, keys=())
+    if not propagation.complete:
         refusal = result_codes.Refusal(
             result_codes.ResultCode.NOT_IN_FORCE,
             f"revision {revision} is not in force on:"
-            f" {', '.join(spread.lagging)}",
+            f" {', '.join(propagation.lagging)}",
         )
         output.print_refusal(refusal)
         raise typer.Exit(refusal.code.exit_code)
@@ -242,15 +244,15 @@
 
 def _print_statuses(statuses: in_force.Statuses) -> None:
     hosts: dict[str, io_entry_host.HostPosition] = {}
-    for url, found in statuses.items():
-        if found is None:
+    for url, url_status in statuses.items():
+        if url_status is None:
             typer.echo(f"{url}: no answer", err=True)
             continue
-        for host in found["hosts"]:
-            known = hosts.get(host["name"])
-            if known is None or known["position"] < host["position"]:
+        for host in url_status["hosts"]:
+            known_host = hosts.get(host["name"])
+            if known_host is None or known_host["position"] < host["position"]:
                 hosts[host["name"]] = host
-        for key, reason in found["rejected"].items():
+        for key, reason in url_status["rejected"].items():
             typer.echo(f"{url} refused {key}: {reason}", err=True)
     output.print_table(
         ("name", "availability_zone", "position", "state"),
@@ -266,7 +268,7 @@
     )
 
 
-def _change(
+def _apply_changes(
     store_url: str,
     wanted: Mapping[str, schema.Entry | None],
     expected: Mapping[str, int],
@@ -283,7 +285,7 @@
         _print_report(report)
     if refusal is None and urls is not None:
         refusal = asyncio.run(
-            _wait(
+            _wait_in_force(
                 urls,
                 revision=max(item.revision for item in report.entries),
                 keys=list(wanted),
@@ -315,26 +317,26 @@
         typer.echo(f"{item.key}: {outcome}{revision}")
     for warning in report.warnings:
         typer.echo(
-            f"warning: a concurrent change left a problem: {warning}",
+            f"warning: invalid after a concurrent change: {warning}",
             err=True,
         )
 
 
-async def _wait(
+async def _wait_in_force(
     urls: list[str], *, revision: int, keys: list[str], timeout_s: float
 ) -> result_codes.Refusal | None:
     console = rich.console.Console(stderr=True)
 
-    async def ask() -> in_force.Statuses:
-        return await io_entry_host.catalogue_statuses(
-            urls, timeout_s=min(ASK_TIMEOUT_S, timeout_s)
+    async def fetch_statuses() -> in_force.Statuses:
+        return await io_entry_host.fetch_catalogue_statuses(
+            urls, timeout_s=min(STATUS_TIMEOUT_S, timeout_s)
         )
 
     async def wait(
-        on_progress: Callable[[in_force.Spread], None],
+        on_progress: Callable[[in_force.Propagation], None],
     ) -> result_codes.Refusal | None:
         return await in_force.wait_in_force(
-            ask=ask,
+            fetch_statuses=fetch_statuses,
             revision=revision,
             keys=keys,
             timeout_s=timeout_s,
@@ -344,31 +346,33 @@
 
     if not sys.stderr.isatty():
         return await wait(lambda _: None)
-    with console.status("waiting for entry hosts") as line:
+    with console.status("waiting for entry hosts") as spinner:
         return await wait(
-            lambda spread: line.update(
-                f"in force on {len(spread.in_force)} hosts; waiting for"
-                f" {', '.join(spread.lagging) or 'none'}"
+            lambda propagation: spinner.update(
+                f"in force on {len(propagation.in_force)} hosts; waiting for"
+                f" {', '.join(propagation.lagging) or 'none'}"
             )
         )
 
 
-def _plain(entry: schema.Entry | None) -> dict[str, Any] | None:
+def _dump_or_none(entry: schema.Entry | None) -> dict[str, Any] | None:
     return None if entry is None else schema.dump_entry(entry)
 
 
-def _read(files: list[str], *, as_json: bool) -> documents.Documents:
-    return _value(documents.read_files(files), as_json=as_json)
+def _read_files(files: list[str], *, as_json: bool) -> documents.Documents:
+    return _unwrap_or_exit(documents.read_files(files), as_json=as_json)
 
 
-def _load(store_url: str, *, as_json: bool) -> catalogue_writer.Catalogue:
-    return _value(
+def _load_catalogue(
+    store_url: str, *, as_json: bool
+) -> catalogue_writer.Catalogue:
+    return _unwrap_or_exit(
         _with_writer(store_url, lambda writer: writer.load()),
         as_json=as_json,
     )
 
 
-def _value(
+def _unwrap_or_exit(
     result: Result[Value, result_codes.Refusal], *, as_json: bool
 ) -> Value:
     if not isinstance(result, Success):
@@ -379,7 +383,7 @@
 
 def _with_writer(
     store_url: str,
-    use: Callable[[catalogue_writer.CatalogueWriter], Awaitable[Value]],
+    action: Callable[[catalogue_writer.CatalogueWriter], Awaitable[Value]],
 ) -> Value:
     async def run() -> Value:
         timer = timer_helper.LoopTimerService()
@@ -388,7 +392,7 @@
             budget=budget.CallBudget(timer=timer, limits=COMMAND_LIMITS),
         )
         try:
-            return await use(
+            return await action(
                 catalogue_writer.CatalogueWriter(
                     store=store,
                     timer=timer,
--- a/src/samphirelug/components/commands/entry_host.py
+++ b/src/samphirelug/components/commands/entry_host.py
@@ -1,4 +1,4 @@
-"""Run an entry host from flags and environment variables."""
+"""Provide the command that runs an entry host."""
 
 import asyncio
 from typing import Annotated
@@ -35,7 +35,7 @@
         envvar=_env(name),
         parser=settings.parse_port,
         metavar="PORT",
-        help=f"Port for {what}, {settings_module.PORT_ALLOWED}; 0: any.",
+        help=f"Port for {what}, {settings_module.PORT_ALLOWED}; 0: any free.",
     )
 
 
@@ -65,7 +65,7 @@
     region: Annotated[str, _text("REGION", f"Its region: {_NAME_ALLOWED}")],
     store_url: Annotated[
         str,
-        _text("STORE_URL", "Address of the object store, http://HOST:PORT."),
+        _text("STORE_URL", "Base URL of the object store, http://HOST:PORT."),
     ],
     cluster_secret: Annotated[
         str,
@@ -100,7 +100,7 @@
         list[str] | None,
         _text(
             "PEER",
-            "Address of a peer to try first, ws://HOST:PORT; repeatable.",
+            "URL of a peer to connect to first, ws://HOST:PORT; repeatable.",
         ),
     ] = None,
     seat_lease_s: Annotated[
@@ -160,8 +160,8 @@
     raise typer.Exit(refusal.code.exit_code)
 
 
-async def _serve(found: settings_module.EntryHostSettings) -> int:
-    # Imported late, so that the short commands start quickly.
+async def _serve(checked_settings: settings_module.EntryHostSettings) -> int:
+    # Imported here, so that the other commands start quickly.
     from samphirelug import entry_host
 
-    return await entry_host.EntryHostProcess(settings=found).run()
+    return await entry_host.EntryHostProcess(settings=checked_settings).run()
--- a/src/samphirelug/components/commands/explain.py
+++ b/src/samphirelug/components/commands/explain.py
@@ -1,4 +1,4 @@
-"""Tell a request's story from the logs of all entry hosts."""
+"""Explain the result of a request from the logs of entry hosts."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -16,13 +16,13 @@
 from samphirelug import result_codes
 
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-# Events up to this long before a request are likely to have decided it: the
-# longest pause of a server and the grace after an outage are shorter.
+# Events up to this long before a request are listed as possible causes: the
+# longest pause of a server and the grace period after an outage are shorter.
 DEFAULT_WINDOW_S = 10.0
 REQUEST_MESSAGES = frozenset(
     ("request ended", "request cancelled", "request failed in this process")
 )
-# What changes a host's belief about more than one server.
+# Events that can change what a host knows of more than one server.
 HOST_MESSAGES = frozenset(
     (
         "configuration in force",
@@ -34,24 +34,24 @@
         "store regained",
     )
 )
-# Fields that stand in each line, or are told apart from the others.
+# Fields of every log line, which the report omits or shows separately.
 COMMON_FIELDS = frozenset(("time", "level", "name", "message", "entry_host"))
 _SERVER_NAME = re.compile(r"(\S+) has [0-9.]+ requests")
 
 
 class LogLine(NamedTuple):
-    """Hold one line of an entry host's log."""
+    """Represent one line of an entry host's log."""
 
-    at: datetime.datetime
+    logged_at: datetime.datetime
     host: str
     message: str
     fields: dict[str, Any]
 
 
 def parse(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Return the log lines; skip what is none.
+    """Return the parsed log lines; skip text that is not a log line.
 
-    A collector may have put text of its own before the JSON object.
+    Text that a log collector adds before the JSON object is ignored.
     """
     for line in lines:
         start = line.find("{")
@@ -69,37 +69,39 @@
             continue
 
 
-def tell(
+def describe_request(
     log: Sequence[LogLine], request_id: str, *, window_s: float
 ) -> list[str]:
-    """Return the story of a request, empty if no line has its id."""
-    story: list[str] = []
+    """Return the report on a request; empty if no line has its id."""
+    report: list[str] = []
     for index, line in enumerate(log):
         if line.fields.get("request_id") != request_id:
             continue
         if line.message not in REQUEST_MESSAGES:
-            story.append(f"{_stamp(line)} {line.message}: {_rest(line)}")
+            report.append(
+                f"{_prefix(line)} {line.message}: {_fields_text(line)}"
+            )
             continue
-        story += _outcome(line)
-        story += _before(log[:index], line, window_s)
-    return story
+        report += _describe_result(line)
+        report += _preceding_events(log[:index], line, window_s)
+    return report
 
 
-def _outcome(line: LogLine) -> list[str]:
+def _describe_result(line: LogLine) -> list[str]:
     fields = line.fields
-    story = [
-        f"{_stamp(line)} {line.message} after {fields.get('took_ms')} ms:"
+    report = [
+        f"{_prefix(line)} {line.message} after {fields.get('took_ms')} ms:"
         f" {fields.get('status', 'no answer')} {fields.get('code', '')}"
     ]
     code = str(fields.get("code"))
     if code in result_codes.ResultCode.__members__:
         effect = result_codes.ResultCode[code].effect.value
-        story.append(f"  code {code} means: {effect}")
+        report.append(f"  code {code} means: {effect}")
     if fields.get("detail"):
-        story.append(f"  reason: {fields['detail']}")
+        report.append(f"  reason: {fields['detail']}")
     if fields.get("retry_after_s"):
-        story.append(f"  told to come back in {fields['retry_after_s']} s")
-    story.append(
+        report.append(f"  told to retry in {fields['retry_after_s']} s")
+    report.append(
         f"  route {fields.get('route') or 'none'}, service"
         f" {fields.get('service') or 'none'}, object"
         f" {fields.get('object') or 'none'}, configuration"
@@ -108,50 +110,54 @@
     )
     attempts = fields.get("attempts") or []
     if not attempts:
-        story.append("  sent to no server")
+        report.append("  sent to no server")
     for number, attempt in enumerate(attempts, 1):
         age = attempt.get("load_age_ms")
-        known = "never reported" if age is None else f"{age} ms old"
-        story.append(
+        load_age = "never reported" if age is None else f"{age} ms old"
+        report.append(
             f"  attempt {number}: {attempt.get('server')} in"
-            f" {attempt.get('zone')}, choice {attempt.get('choice')}, believed"
-            f" to have {attempt.get('load')} requests for"
-            f" {attempt.get('slots')} slots ({known}):"
+            f" {attempt.get('zone')}, choice {attempt.get('choice')},"
+            f" estimated to have {attempt.get('load')} requests for"
+            f" {attempt.get('slots')} slots ({load_age}):"
             f" {attempt.get('outcome')} after {attempt.get('took_ms')} ms"
             f" {attempt.get('detail', '')}".rstrip()
         )
-    return story
+    return report
 
 
-def _before(
-    earlier: Sequence[LogLine], line: LogLine, window_s: float
+def _preceding_events(
+    earlier_lines: Sequence[LogLine], line: LogLine, window_s: float
 ) -> list[str]:
-    """Return what the host learned of its servers just before."""
+    """Return earlier events of the host and of the request's servers."""
     servers = {
         attempt.get("server") for attempt in line.fields.get("attempts") or ()
     }
     servers.update(_SERVER_NAME.findall(line.fields.get("detail") or ""))
-    since = line.at - datetime.timedelta(seconds=window_s)
-    story = []
-    for one in earlier:
-        if one.host != line.host or not since <= one.at <= line.at:
+    earliest = line.logged_at - datetime.timedelta(seconds=window_s)
+    report = []
+    for event in earlier_lines:
+        if (
+            event.host != line.host
+            or not earliest <= event.logged_at <= line.logged_at
+        ):
             continue
-        if one.message in HOST_MESSAGES or (
-            one.message not in REQUEST_MESSAGES
-            and one.fields.get("server") in servers
+        if event.message in HOST_MESSAGES or (
+            event.message not in REQUEST_MESSAGES
+            and event.fields.get("server") in servers
         ):
-            before_s = (line.at - one.at).total_seconds()
-            story.append(
-                f"  {before_s:.3f} s before: {one.message}: {_rest(one)}"
+            before_s = (line.logged_at - event.logged_at).total_seconds()
+            report.append(
+                f"  {before_s:.3f} s before: {event.message}:"
+                f" {_fields_text(event)}"
             )
-    return story
+    return report
 
 
-def _stamp(line: LogLine) -> str:
-    return f"{line.at.time().isoformat('milliseconds')} {line.host}"
+def _prefix(line: LogLine) -> str:
+    return f"{line.logged_at.time().isoformat('milliseconds')} {line.host}"
 
 
-def _rest(line: LogLine) -> str:
+def _fields_text(line: LogLine) -> str:
     return ", ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
@@ -178,18 +184,18 @@
         ),
     ] = DEFAULT_WINDOW_S,
 ) -> None:
-    """Show how a request ended, and what decided it."""
+    """Show how a request ended, and the events that may explain it."""
     log: list[LogLine] = []
     for path in log_file:
         with path.open(encoding="utf-8", errors="replace") as lines:
             log.extend(parse(lines))
-    story = tell(log, request_id, window_s=window_s)
-    if not story:
+    report = describe_request(log, request_id, window_s=window_s)
+    if not report:
         typer.echo(
-            f"samphirelug: no line has the request id {request_id}; no entry"
-            " host read the request, or its line was left out",
+            f"samphirelug: no log line has the request id {request_id}: no"
+            " entry host read the request, or the log rate limit omitted it",
             err=True,
         )
         raise typer.Exit(1)
-    for line in story:
+    for line in report:
         typer.echo(line)
--- a/src/samphirelug/components/commands/in_force.py
+++ b/src/samphirelug/components/commands/in_force.py
@@ -1,4 +1,4 @@
-"""Wait until a catalogue change is in force on every host."""
+"""Wait until a catalogue change is in force on every entry host."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -15,28 +15,29 @@
 Statuses = Mapping[str, io_entry_host.CatalogueStatus | None]
 
 
-class Spread(NamedTuple):
-    """Tell which hosts have a change and which lag."""
+class Propagation(NamedTuple):
+    """Represent how far a catalogue change has reached the entry hosts."""
 
+    # Names of hosts on which the change is in force.
     in_force: tuple[str, ...]
-    # With the position, or the reason why it is not known.
+    # Hosts on which it is not, with their position or "no answer".
     lagging: tuple[str, ...]
-    # Entries of the change that a host refused, with the reason.
+    # Entries of the change that a host rejected, with the reason.
     rejected: tuple[str, ...]
 
     @property
     def complete(self) -> bool:
-        """Return whether every known host has the change."""
+        """Return whether the change is in force on every known host."""
         return bool(self.in_force) and not self.lagging
 
 
-def spread_of(
+def merge_statuses(
     statuses: Statuses, *, revision: int, keys: Collection[str]
-) -> Spread:
-    """Merge what entry hosts report about a change.
+) -> Propagation:
+    """Merge the catalogue statuses that entry hosts report.
 
-    A host that does not answer counts as lagging: it may be isolated and
-    still serve with an older catalogue.
+    A host that does not answer counts as lagging, since it may be isolated
+    and still serve requests with an older catalogue.
     """
     positions: dict[str, int] = {}
     lagging: list[str] = []
@@ -48,7 +49,8 @@
         if status["position"] < revision:
             lagging.append(f"{url} (at {status['position']})")
             continue
-        # Before this revision the host may report an older version.
+        # Hosts below the revision are skipped above, since their rejections
+        # may concern an older version of the entry.
         for key in sorted(status["rejected"].keys() & keys):
             rejected[f"{key}: {status['rejected'][key]}"] = None
     for status in statuses.values():
@@ -59,7 +61,7 @@
     for name, position in sorted(positions.items()):
         if position < revision:
             lagging.append(f"{name} (at {position})")
-    return Spread(
+    return Propagation(
         tuple(
             sorted(
                 name
@@ -74,27 +76,27 @@
 
 async def wait_in_force(
     *,
-    ask: Callable[[], Awaitable[Statuses]],
+    fetch_statuses: Callable[[], Awaitable[Statuses]],
     revision: int,
     keys: Collection[str],
     timeout_s: float,
     timer: timer_helper.TimerService,
-    on_progress: Callable[[Spread], None],
+    on_progress: Callable[[Propagation], None],
 ) -> result_codes.Refusal | None:
-    """Poll until a change is in force everywhere; None says that it is."""
-    until_s = timer.monotonic() + timeout_s
+    """Poll until a change is in force on every host; return None then."""
+    end_s = timer.monotonic() + timeout_s
     while True:
-        statuses = await ask()
-        spread = spread_of(statuses, revision=revision, keys=keys)
-        on_progress(spread)
-        if spread.rejected:
+        statuses = await fetch_statuses()
+        propagation = merge_statuses(statuses, revision=revision, keys=keys)
+        on_progress(propagation)
+        if propagation.rejected:
             return result_codes.Refusal(
                 result_codes.ResultCode.NOT_IN_FORCE,
-                f"hosts refused {'; '.join(spread.rejected)}",
+                f"hosts refused {'; '.join(propagation.rejected)}",
             )
-        if spread.complete:
+        if propagation.complete:
             return None
-        if timer.monotonic() >= until_s:
+        if timer.monotonic() >= end_s:
             break
         await timer.sleep(POLL_INTERVAL_S)
     if not any(statuses.values()):
@@ -106,6 +108,6 @@
     return result_codes.Refusal(
         result_codes.ResultCode.NOT_IN_FORCE,
         f"revision {revision} is in the store and in force on"
-        f" {len(spread.in_force)} hosts; not in force after {timeout_s:g} s"
-        f" on: {', '.join(spread.lagging) or 'any host'}",
+        f" {len(propagation.in_force)} hosts; not in force after"
+        f" {timeout_s:g} s on: {', '.join(propagation.lagging) or 'any host'}",
     )
--- a/src/samphirelug/components/commands/io_entry_host.py
+++ b/src/samphirelug/components/commands/io_entry_host.py
@@ -1,4 +1,4 @@
-"""Ask entry hosts over HTTP for operator commands."""
+"""Query entry hosts over HTTP."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 
 
 class HostPosition(TypedDict):
-    """Report the catalogue position of one host."""
+    """Represent the catalogue position of one host."""
 
     name: str
     availability_zone: str
@@ -25,27 +25,27 @@
 
 
 class CatalogueStatus(TypedDict):
-    """Report what one entry host knows of the catalogue's spread."""
+    """Represent the catalogue status that one entry host reports."""
 
     position: int
     hosts: list[HostPosition]
     rejected: dict[str, str]
 
 
-class HttpAnswer(NamedTuple):
-    """Hold the status and the JSON body of an answer."""
+class JsonAnswer(NamedTuple):
+    """Represent the status and the JSON body of an HTTP answer."""
 
     status: int
     body: object
 
 
-_STATUS = pydantic.TypeAdapter(CatalogueStatus)
+_CATALOGUE_STATUS_ADAPTER = pydantic.TypeAdapter(CatalogueStatus)
 
 
 async def get_json(
     url: str, *, timeout_s: float
-) -> Result[HttpAnswer, result_codes.Refusal]:
-    """Return a JSON answer; ENTRY_HOST_UNREACHABLE where there is none."""
+) -> Result[JsonAnswer, result_codes.Refusal]:
+    """Return a JSON answer, or ENTRY_HOST_UNREACHABLE without one."""
     try:
         response = await httpclient.AsyncHTTPClient().fetch(
             url,
@@ -54,7 +54,7 @@
             request_timeout=timeout_s,
             follow_redirects=False,
         )
-        return Success(HttpAnswer(response.code, orjson.loads(response.body)))
+        return Success(JsonAnswer(response.code, orjson.loads(response.body)))
     except (httpclient.HTTPError, OSError, ValueError) as error:
         return Failure(
             result_codes.Refusal(
@@ -64,24 +64,24 @@
         )
 
 
-async def catalogue_status(
+async def fetch_catalogue_status(
     url: str, *, timeout_s: float
 ) -> CatalogueStatus | None:
-    """Return an entry host's catalogue status, if it gives one."""
+    """Return the catalogue status of an entry host, None on failure."""
     answer = await get_json(f"{url}/v1/catalogue/status", timeout_s=timeout_s)
     if not isinstance(answer, Success) or answer.unwrap().status != 200:
         return None
     try:
-        return _STATUS.validate_python(answer.unwrap().body)
+        return _CATALOGUE_STATUS_ADAPTER.validate_python(answer.unwrap().body)
     except pydantic.ValidationError:
         return None
 
 
-async def catalogue_statuses(
+async def fetch_catalogue_statuses(
     urls: Sequence[str], *, timeout_s: float
 ) -> dict[str, CatalogueStatus | None]:
     """Return the catalogue status of each entry host, by URL."""
     answers = await asyncio.gather(
-        *(catalogue_status(url, timeout_s=timeout_s) for url in urls)
+        *(fetch_catalogue_status(url, timeout_s=timeout_s) for url in urls)
     )
     return dict(zip(urls, answers, strict=True))
--- a/src/samphirelug/components/commands/lookup.py
+++ b/src/samphirelug/components/commands/lookup.py
@@ -1,4 +1,4 @@
-"""Ask entry hosts where to send work."""
+"""Provide the command that looks up entry hosts for a work entry."""
 
 import asyncio
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
         "--caller-url",
         envvar="SAMPHIRELUG_CALLER_URL",
         callback=settings.check_urls,
-        help="Base address of an entry host for callers; repeatable.",
+        help="Base URL of an entry host for callers; repeatable.",
     ),
 ]
 Place = Annotated[
@@ -41,8 +41,8 @@
     timeout_s: settings.TimeoutSeconds = 2.0,
     as_json: settings.Json = False,
 ) -> None:
-    """Show which entry hosts a caller would be sent to."""
-    answer = asyncio.run(_ask(work, caller_url, place, timeout_s))
+    """Show the entry hosts that a look-up returns to a caller."""
+    answer = asyncio.run(_fetch_answer(work, caller_url, place, timeout_s))
     if not isinstance(answer, Success):
         output.fail(answer.failure(), as_json=as_json)
     body = answer.unwrap()
@@ -62,7 +62,7 @@
     )
 
 
-async def _ask(
+async def _fetch_answer(
     work: str, urls: list[str], place: str, timeout_s: float
 ) -> Result[Mapping[str, object], result_codes.Refusal]:
     refusal = result_codes.Refusal(
@@ -80,14 +80,16 @@
         status, body = answer.unwrap()
         if status == 200 and isinstance(body, Mapping):
             return Success(body)
-        refusal = _refusal_of(url, status, body)
-        # Another host would say the same.
+        refusal = _parse_refusal(url, status, body)
+        # Every other host would give the same answer.
         if refusal.code is result_codes.ResultCode.UNKNOWN_WORK:
             break
     return Failure(refusal)
 
 
-def _refusal_of(url: str, status: int, body: object) -> result_codes.Refusal:
+def _parse_refusal(
+    url: str, status: int, body: object
+) -> result_codes.Refusal:
     if isinstance(body, Mapping):
         try:
             return result_codes.Refusal(
--- a/src/samphirelug/components/commands/output.py
+++ b/src/samphirelug/components/commands/output.py
@@ -1,4 +1,4 @@
-"""Print results and refusals of operator commands."""
+"""Print the results and refusals of commands."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -40,7 +40,7 @@
 
 
 def fail(refusal: result_codes.Refusal, *, as_json: bool) -> NoReturn:
-    """Print a refusal and end with its exit code."""
+    """Print a refusal and exit with its exit code."""
     if as_json:
         print_json(refusal_body(refusal))
     else:
--- a/src/samphirelug/components/commands/settings.py
+++ b/src/samphirelug/components/commands/settings.py
@@ -1,4 +1,4 @@
-"""Define and check the flags that operator commands share."""
+"""Define and validate the flags shared by commands."""
 
 from collections.abc import Sequence
 import math
@@ -20,47 +20,48 @@
 _KEY = re.compile(rf"^({'|'.join(schema.KINDS)})/[a-z0-9][a-z0-9.-]{{0,62}}$")
 
 
-# Typer exports this class only as the base of the one for bad values.
+# The usage error that parsing raises. Typer exports it only as the base class
+# of BadParameter.
 _USAGE_ERROR: Any = typer.BadParameter.__base__
-_TRUTH_VALUES = ("1", "true", "yes", "on", "0", "false", "no", "off")
+_BOOLEAN_VALUES = ("1", "true", "yes", "on", "0", "false", "no", "off")
 
 
 class Command(typer_core.TyperCommand):
-    """Report a bad flag in one line, with exit code 2."""
+    """Report an invalid flag in one line and exit with code 2."""
 
     def parse_args(self, ctx: Any, args: list[str]) -> list[str]:
-        """Parse and check the flags and their environment variables."""
+        """Parse and validate the flags and their environment variables."""
         try:
             for param in self.params:
                 if getattr(param, "is_flag", False):
-                    _check_truth(str(param.opts[0]), str(param.envvar))
+                    _check_boolean(str(param.opts[0]), str(param.envvar))
             return super().parse_args(ctx, args)
         except _USAGE_ERROR as error:
             line = " ".join(error.format_message().split())
-            at_fault = getattr(error, "param", None)
-            if line.startswith("Missing") and at_fault is not None:
-                line = f"{line} Allowed: {getattr(at_fault, 'help', '')}"
+            faulty_param = getattr(error, "param", None)
+            if line.startswith("Missing") and faulty_param is not None:
+                line = f"{line} Allowed: {getattr(faulty_param, 'help', '')}"
             typer.echo(f"samphirelug: {line}", err=True)
             raise typer.Exit(2) from None
 
 
-def _check_truth(flag: str, variable: str) -> None:
-    """Check a flag's variable; typer's own message lacks the value."""
+def _check_boolean(flag: str, variable: str) -> None:
+    """Validate a flag's variable; typer's message would omit the value."""
     value = os.environ.get(variable)
-    if value and value.lower() not in _TRUTH_VALUES:
+    if value and value.lower() not in _BOOLEAN_VALUES:
         raise typer.BadParameter(
             f"{flag} (env var: {variable!r}): {value!r} is not one of"
-            f" {', '.join(_TRUTH_VALUES)}"
+            f" {', '.join(_BOOLEAN_VALUES)}"
         )
 
 
 def parse_seconds(value: Any) -> float:
-    """Return a number of seconds."""
+    """Return a number of seconds within the bounds for time-outs."""
     try:
         seconds = float(value)
     except ValueError:
         seconds = math.nan
-    # Comparisons with NaN are false.
+    # NaN is rejected, since every comparison with it is false.
     if not MIN_SECONDS <= seconds <= MAX_SECONDS:
         raise typer.BadParameter(
             f"{value!r} is not a number of seconds from {MIN_SECONDS:g} to"
@@ -70,7 +71,7 @@
 
 
 def parse_port(value: Any) -> int:
-    """Return a port number; its range is checked with the other settings."""
+    """Return a port number; its range is validated with the settings."""
     if not re.fullmatch(r"[0-9]{1,5}", str(value)):
         raise typer.BadParameter(
             f"{value!r} is not a port from {settings_module.PORT_ALLOWED}"
@@ -79,7 +80,7 @@
 
 
 def parse_number(value: Any) -> float:
-    """Return a number; its bounds are checked with the other settings."""
+    """Return a number; its bounds are validated with the settings."""
     try:
         return float(value)
     except ValueError:
@@ -89,14 +90,14 @@
 
 
 def parse_revision(value: Any) -> int:
-    """Return a revision of the store."""
+    """Return a revision number of the store."""
     if not re.fullmatch(r"[0-9]{1,18}", str(value)):
         raise typer.BadParameter(f"{value!r} is not an integer from 0")
     return int(value)
 
 
 def check_url(value: str | None) -> str | None:
-    """Return the base address without a slash at its end."""
+    """Return the base URL without a trailing slash."""
     if value is None:
         return None
     parsed = urllib.parse.urlsplit(value)
@@ -117,12 +118,12 @@
 
 
 def check_urls(values: Sequence[str] | None) -> list[str]:
-    """Return the base addresses without slashes at their ends."""
+    """Return the base URLs without trailing slashes."""
     return [checked for value in values or () if (checked := check_url(value))]
 
 
 def require_urls(values: Sequence[str] | None) -> list[str]:
-    """Return the entry hosts' addresses; end with code 2 without any."""
+    """Return the URLs of entry hosts; exit with code 2 if there are none."""
     if not values:
         typer.echo(
             "samphirelug: Missing option '--entry-host-url' (env var:"
@@ -135,7 +136,7 @@
 
 
 def check_key(value: str) -> str:
-    """Return the key of an entry."""
+    """Return the key of an entry if it is valid."""
     if not _KEY.match(value):
         raise typer.BadParameter(
             f"{value!r} is not KIND/NAME with one of the kinds"
@@ -145,12 +146,12 @@
 
 
 def check_keys(values: Sequence[str]) -> list[str]:
-    """Return the keys of entries."""
+    """Return the keys of entries if they are valid."""
     return [check_key(value) for value in values]
 
 
 def check_kind(value: str | None) -> str | None:
-    """Return the kind of entries."""
+    """Return the kind of entries if it is valid."""
     if value is not None and value not in schema.KINDS:
         raise typer.BadParameter(
             f"{value!r} is not one of {', '.join(schema.KINDS)}"
@@ -164,7 +165,7 @@
         "--store-url",
         envvar="SAMPHIRELUG_STORE_URL",
         callback=check_url,
-        help="Base address of the object store, http://HOST:PORT.",
+        help="Base URL of the object store, http://HOST:PORT.",
     ),
 ]
 OptionalStoreUrl = Annotated[
@@ -173,7 +174,7 @@
         "--store-url",
         envvar="SAMPHIRELUG_STORE_URL",
         callback=check_url,
-        help="Base address of the object store, to check against.",
+        help="Base URL of the object store whose catalogue to check against.",
     ),
 ]
 EntryHostUrls = Annotated[
@@ -182,7 +183,7 @@
         "--entry-host-url",
         envvar="SAMPHIRELUG_ENTRY_HOST_URL",
         callback=check_urls,
-        help="Base address of an entry host's operator port; repeatable.",
+        help="Base URL of an entry host's operator port; repeatable.",
     ),
 ]
 Json = Annotated[
@@ -214,7 +215,7 @@
     typer.Option(
         "--watch",
         envvar="SAMPHIRELUG_WATCH",
-        help="Show the status anew each second until interrupted.",
+        help="Refresh the status every second until interrupted.",
     ),
 ]
 Key = Annotated[str, typer.Argument(callback=check_key, help="KIND/NAME")]
@@ -241,6 +242,6 @@
         envvar="SAMPHIRELUG_REVISION",
         parser=parse_revision,
         metavar="REVISION",
-        help="Revision that is expected.",
+        help="Expected revision.",
     ),
 ]
--- a/src/samphirelug/components/commands/status.py
+++ b/src/samphirelug/components/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the status of entry hosts, once or as a live view."""
+"""Provide the command that shows the status of entry hosts."""
 
 import asyncio
 import sys
@@ -26,7 +26,7 @@
     watch: settings.Watch = False,
     as_json: settings.Json = False,
 ) -> None:
-    """Show what entry hosts report of themselves.
+    """Show the status that entry hosts report.
 
     Without a terminal, or with --json, --watch prints once.
     """
@@ -36,22 +36,22 @@
             asyncio.run(_watch(urls, timeout_s))
         except KeyboardInterrupt:
             return
-    found = asyncio.run(_ask(urls, timeout_s))
+    results = asyncio.run(_fetch_statuses(urls, timeout_s))
     if as_json:
         output.print_json(
             {
                 url: output.refusal_body(answer)
                 if isinstance(answer, result_codes.Refusal)
                 else answer
-                for url, answer in found.items()
+                for url, answer in results.items()
             }
         )
     else:
-        for table in status_tables.tables(_serving(found)):
+        for table in status_tables.build_tables(_received_statuses(results)):
             typer.echo(f"{table.title}:")
             output.print_table(table.header, table.rows)
             typer.echo("")
-    refusals = _refusals(found)
+    refusals = _refusals(results)
     for refusal in refusals:
         output.print_refusal(refusal)
     if refusals:
@@ -59,59 +59,61 @@
 
 
 async def _watch(urls: list[str], timeout_s: float) -> None:
-    """Draw the tables anew until interrupted."""
+    """Refresh the tables until interrupted."""
     timer = timer_helper.LoopTimerService()
     with rich.live.Live(screen=True, auto_refresh=False) as live:
         while True:
-            live.update(_draw(await _ask(urls, timeout_s)), refresh=True)
+            live.update(
+                _render(await _fetch_statuses(urls, timeout_s)), refresh=True
+            )
             await timer.sleep(WATCH_INTERVAL_S)
 
 
-def _draw(found: "Found") -> rich.console.Group:
-    parts: list[Any] = [refusal.detail for refusal in _refusals(found)]
-    for table in status_tables.tables(_serving(found)):
-        drawn = rich.table.Table(title=table.title, title_justify="left")
+def _render(results: "StatusResults") -> rich.console.Group:
+    parts: list[Any] = [refusal.detail for refusal in _refusals(results)]
+    for table in status_tables.build_tables(_received_statuses(results)):
+        rich_table = rich.table.Table(title=table.title, title_justify="left")
         for column in table.header:
-            drawn.add_column(column)
+            rich_table.add_column(column)
         for row in table.rows:
-            drawn.add_row(*row)
-        parts.append(drawn)
+            rich_table.add_row(*row)
+        parts.append(rich_table)
     return rich.console.Group(*parts)
 
 
-Found = dict[str, dict[str, Any] | result_codes.Refusal]
+StatusResults = dict[str, dict[str, Any] | result_codes.Refusal]
 
 
-async def _ask(urls: list[str], timeout_s: float) -> Found:
+async def _fetch_statuses(urls: list[str], timeout_s: float) -> StatusResults:
     answers = await asyncio.gather(
         *(
             io_entry_host.get_json(f"{url}/v1/status", timeout_s=timeout_s)
             for url in urls
         )
     )
-    found: Found = {}
+    results: StatusResults = {}
     for url, answer in zip(urls, answers, strict=True):
         if not isinstance(answer, Success):
-            found[url] = answer.failure()
+            results[url] = answer.failure()
             continue
         body = answer.unwrap().body
         if answer.unwrap().status == 200 and isinstance(body, dict):
-            found[url] = body
+            results[url] = body
             continue
-        found[url] = result_codes.Refusal(
+        results[url] = result_codes.Refusal(
             result_codes.ResultCode.ENTRY_HOST_UNREACHABLE,
             f"{url}: answered with status {answer.unwrap().status}",
         )
-    return found
+    return results
 
 
-def _serving(found: Found) -> list[dict[str, Any]]:
-    return [body for body in found.values() if isinstance(body, dict)]
+def _received_statuses(results: StatusResults) -> list[dict[str, Any]]:
+    return [body for body in results.values() if isinstance(body, dict)]
 
 
-def _refusals(found: Found) -> list[result_codes.Refusal]:
+def _refusals(results: StatusResults) -> list[result_codes.Refusal]:
     return [
         answer
-        for answer in found.values()
+        for answer in results.values()
         if isinstance(answer, result_codes.Refusal)
     ]
--- a/src/samphirelug/components/commands/status_tables.py
+++ b/src/samphirelug/components/commands/status_tables.py
@@ -1,24 +1,26 @@
-"""Lay out the status of entry hosts as tables."""
+"""Build tables from the status of entry hosts."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
 from typing import Any
 from typing import NamedTuple
 
-# Keys of single servers and work entries are in the JSON form only.
-SHOWN_KEYS = ("region:", "shift:", "link:")
+# Keys of single servers and work entries are shown in the JSON output only.
+SHOWN_KEY_PREFIXES = ("region:", "shift:", "link:")
 UNIT_STATES = ("limit", "share", "free", "held", "lent", "borrowed")
 
 
 class StatusTable(NamedTuple):
-    """Hold one table, ready to print."""
+    """Represent one table of texts."""
 
     title: str
     header: tuple[str, ...]
     rows: tuple[tuple[str, ...], ...]
 
 
-def tables(statuses: Sequence[dict[str, Any]]) -> tuple[StatusTable, ...]:
+def build_tables(
+    statuses: Sequence[dict[str, Any]],
+) -> tuple[StatusTable, ...]:
     """Return the tables; a field that a host lacks is shown as "-"."""
     return (
         StatusTable(
@@ -47,8 +49,8 @@
         StatusTable(
             "refusals",
             ("reason", "entry host", "count"),
-            _rows(
-                (reason, _text(status, "name"), count)
+            _sorted_rows(
+                (reason, _field_text(status, "name"), count)
                 for status in statuses
                 for reason, count in status.get("refusals", {}).items()
             ),
@@ -56,8 +58,13 @@
         StatusTable(
             "store calls",
             ("kind", "outcome", "entry host", "count"),
-            _rows(
-                (call["kind"], call["outcome"], _text(status, "name"), count)
+            _sorted_rows(
+                (
+                    call["kind"],
+                    call["outcome"],
+                    _field_text(status, "name"),
+                    count,
+                )
                 for status in statuses
                 for call in status.get("store_calls", ())
                 for count in (call["count"],)
@@ -69,12 +76,12 @@
 def _host_row(status: dict[str, Any]) -> tuple[str, ...]:
     seats = status.get("seats", {})
     return (
-        _text(status, "name"),
-        _text(status, "availability_zone"),
-        _text(status, "state"),
-        _text(status, "catalogue_position"),
-        _text(status, "in_flight"),
-        _text(status, "loop_lag_s"),
+        _field_text(status, "name"),
+        _field_text(status, "availability_zone"),
+        _field_text(status, "state"),
+        _field_text(status, "catalogue_position"),
+        _field_text(status, "in_flight"),
+        _field_text(status, "loop_lag_s"),
         str(min(seats.values())) if seats else "-",
         ", ".join(sorted(status.get("leaving_servers", ()))) or "-",
     )
@@ -85,43 +92,52 @@
 ) -> tuple[tuple[str, ...], ...]:
     sums: dict[tuple[str, str], tuple[int, int]] = {}
     for status in statuses:
-        for room in status.get("headroom", ()):
-            place = (room["region"], room["service"])
-            free, held = sums.get(place, (0, 0))
-            sums[place] = (free + room["free"], held + room["held"])
-    return _rows((*place, *amounts) for place, amounts in sums.items())
+        for region_headroom in status.get("headroom", ()):
+            region_and_service = (
+                region_headroom["region"],
+                region_headroom["service"],
+            )
+            free, held = sums.get(region_and_service, (0, 0))
+            sums[region_and_service] = (
+                free + region_headroom["free"],
+                held + region_headroom["held"],
+            )
+    return _sorted_rows(
+        (*region_and_service, *amounts)
+        for region_and_service, amounts in sums.items()
+    )
 
 
 def _quota_rows(
     statuses: Sequence[dict[str, Any]],
 ) -> tuple[tuple[str, ...], ...]:
-    return _rows(
+    return _sorted_rows(
         (
             key,
-            _text(status, "name"),
+            _field_text(status, "name"),
             *(account[state] for state in UNIT_STATES),
         )
         for status in statuses
         for key, account in status.get("quota", {}).items()
-        if key.startswith(SHOWN_KEYS)
+        if key.startswith(SHOWN_KEY_PREFIXES)
     )
 
 
 def _rank_rows(
     statuses: Sequence[dict[str, Any]],
 ) -> tuple[tuple[str, ...], ...]:
-    # Kept in the order of the ranks, the most urgent first.
+    # Not sorted: each host reports its ranks in order, most urgent first.
     return tuple(
-        (rank, _text(status, "name"), str(queued), str(round(wait_s, 3)))
+        (rank, _field_text(status, "name"), str(queued), str(round(wait_s, 3)))
         for status in statuses
         for rank, queued in status.get("queued", {}).items()
         for wait_s in (status["wait_s"][rank],)
     )
 
 
-def _text(status: dict[str, Any], field: str) -> str:
+def _field_text(status: dict[str, Any], field: str) -> str:
     return str(status.get(field, "-"))
 
 
-def _rows(rows: Iterable[Sequence[Any]]) -> tuple[tuple[str, ...], ...]:
+def _sorted_rows(rows: Iterable[Sequence[Any]]) -> tuple[tuple[str, ...], ...]:
     return tuple(sorted(tuple(map(str, row)) for row in rows))
--- a/tests/components/commands/conftest.py
+++ b/tests/components/commands/conftest.py
@@ -1,4 +1,4 @@
-"""Run the commands against stand-ins on loopback."""
+"""Provide a fake store and entry host that commands can call."""
 
 import asyncio
 from collections.abc import Iterator
@@ -17,35 +17,38 @@
 
 
 class FakeEntryHost:
-    """Give set answers by path, as an entry host would."""
+    """Answer requests with configured answers, by path and query."""
 
     def __init__(self) -> None:
+        # Status and body by path with query.
         self.answers: dict[str, tuple[int, Any]] = {}
         self.url = ""
 
 
 class _Handler(tornado.web.RequestHandler):
-    def initialize(self, host: FakeEntryHost) -> None:
-        """Take the set answers."""
-        self.host = host
+    def initialize(self, entry_host: FakeEntryHost) -> None:
+        """Store the host whose answers are served."""
+        self.entry_host = entry_host
 
     def get(self) -> None:
-        """Give the answer that is set for the path and query."""
-        status, body = self.host.answers.get(self.request.uri or "", (404, {}))
+        """Write the answer configured for the path and query, or 404."""
+        status, body = self.entry_host.answers.get(
+            self.request.uri or "", (404, {})
+        )
         self.set_status(status)
         self.finish(json.dumps(body))
 
 
-class Servers:
-    """Hold the stand-ins that one test's commands talk to."""
+class CommandEnvironment:
+    """Run commands against a fake store and a fake entry host."""
 
     def __init__(self) -> None:
-        self.core = store_standin.StoreCore()
+        self.store = store_standin.StoreCore()
         self.store_url = ""
-        self.host = FakeEntryHost()
+        self.entry_host = FakeEntryHost()
 
     def run(self, *arguments: str) -> Any:
-        """Run a command line and return its result."""
+        """Run a command and return its result."""
         return typer.testing.CliRunner().invoke(
             __main__.app, list(arguments), env={"COLUMNS": "200"}
         )
@@ -58,27 +61,29 @@
 
 
 @pytest.fixture
-def servers() -> Iterator[Servers]:
-    """Serve the stand-ins on a loop of their own."""
-    found = Servers()
+def environment() -> Iterator[CommandEnvironment]:
+    """Serve the fake store and entry host from a separate thread."""
+    environment = CommandEnvironment()
     loop = asyncio.new_event_loop()
 
     async def start() -> None:
-        port = store_standin.listen(found.core, port=0)
-        found.store_url = f"http://127.0.0.1:{port}"
+        port = store_standin.listen(environment.store, port=0)
+        environment.store_url = f"http://127.0.0.1:{port}"
         sockets = tornado.netutil.bind_sockets(0, "127.0.0.1")
         server = tornado.httpserver.HTTPServer(
             tornado.web.Application(
-                [(r".*", _Handler, {"host": found.host})],
+                [(r".*", _Handler, {"entry_host": environment.entry_host})],
                 log_function=lambda _: None,
             )
         )
         server.add_sockets(sockets)
-        found.host.url = f"http://127.0.0.1:{sockets[0].getsockname()[1]}"
+        environment.entry_host.url = (
+            f"http://127.0.0.1:{sockets[0].getsockname()[1]}"
+        )
 
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
     asyncio.run_coroutine_threadsafe(start(), loop).result(timeout=5.0)
-    yield found
+    yield environment
     loop.call_soon_threadsafe(loop.stop)
     thread.join(timeout=5.0)
--- a/tests/components/commands/test_catalogue.py
+++ b/tests/components/commands/test_catalogue.py
@@ -1,4 +1,4 @@
-"""Test the catalogue commands against the store's stand-in."""
+"""Test the catalogue commands against a fake store."""
 
 import json
 import pathlib
@@ -17,163 +17,186 @@
 def status_body(
     *positions: int, rejected: dict[str, str] | None = None
 ) -> dict[str, object]:
+    """Return a catalogue status in which hosts have these positions."""
     return {
         "position": positions[0],
         "hosts": [
             {
-                "name": f"eh{place}",
+                "name": f"eh{number}",
                 "availability_zone": "tallinn-a",
                 "position": position,
                 "state": "serving",
             }
-            for place, position in enumerate(positions, start=1)
+            for number, position in enumerate(positions, start=1)
         ],
         "rejected": rejected or {},
     }
 
 
 @pytest.mark.parametrize("name", ["estonia", "norway"])
-def test_whole_catalogue(servers: conftest.Servers, name: str) -> None:
-    """Guard against an example that cannot be applied."""
+def test_example_catalogue_can_be_applied(
+    environment: conftest.CommandEnvironment, name: str
+) -> None:
+    """Guard against an example that the commands reject or change."""
     path = str(EXAMPLES / f"{name}.yaml")
-    result = servers.run("catalogue", "validate", path)
+    result = environment.run("catalogue", "validate", path)
     assert (result.exit_code, result.stdout) == (0, "12 entries are valid\n")
-    result = servers.catalogue("apply", path, "--json")
+    result = environment.catalogue("apply", path, "--json")
     assert result.exit_code == 0
     assert json.loads(result.stdout)["revision"] == 12
-    result = servers.catalogue("diff", path)
+    result = environment.catalogue("diff", path)
     assert (result.exit_code, result.stdout) == (0, "")
-    result = servers.catalogue("list", "--json", "--kind", "work")
+    result = environment.catalogue("list", "--json", "--kind", "work")
     assert len(json.loads(result.stdout)) == 4
 
 
-def test_edit_of_an_old_version_is_a_conflict(
-    servers: conftest.Servers, tmp_path: pathlib.Path
+def test_edit_of_an_old_revision_is_a_conflict(
+    environment: conftest.CommandEnvironment, tmp_path: pathlib.Path
 ) -> None:
     """Guard against an edit that overwrites a change made since."""
-    servers.catalogue("apply", ESTONIA)
-    text = servers.catalogue("get", "work/case-status").stdout
+    environment.catalogue("apply", ESTONIA)
+    text = environment.catalogue("get", "work/case-status").stdout
     edit = tmp_path / "edit.yaml"
     edit.write_text(text.replace("deadline_s: 5.0", "deadline_s: 6.0"))
-    result = servers.catalogue("diff", str(edit))
+    result = environment.catalogue("diff", str(edit))
     assert "-deadline_s: 5.0\n+deadline_s: 6.0" in result.stdout
-    result = servers.catalogue("apply", str(edit))
+    result = environment.catalogue("apply", str(edit))
     assert result.exit_code == 0
     assert result.stdout == "work/case-status: applied at revision 13\n"
     edit.write_text(text.replace("deadline_s: 5.0", "deadline_s: 7.0"))
-    result = servers.catalogue("apply", str(edit), "--json")
+    result = environment.catalogue("apply", str(edit), "--json")
     assert result.exit_code == 4
     detail = json.loads(result.stdout)["refusal"]["detail"]
     assert "deadline_s: 6.0" in detail
     assert "deadline_s: 7.0" in detail
-    result = servers.catalogue(
+    result = environment.catalogue(
         "delete", "work/case-status", "--revision", "11"
     )
     assert result.exit_code == 4
-    result = servers.catalogue("delete", "work/case-status")
+    result = environment.catalogue("delete", "work/case-status")
     assert result.exit_code == 0
-    assert servers.catalogue("get", "work/case-status").exit_code == 9
+    assert environment.catalogue("get", "work/case-status").exit_code == 9
 
 
-def test_lost_answer_is_success_once(servers: conftest.Servers) -> None:
-    """Guard against a write that is reported lost or made twice."""
-    servers.core.faults.lose_answers = 1
-    servers.core.faults.lose_requests = 1
-    result = servers.catalogue("apply", ESTONIA)
+def test_write_with_lost_answer_is_applied_once(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against a write that is reported as failed or repeated."""
+    environment.store.faults.lose_answers = 1
+    environment.store.faults.lose_requests = 1
+    result = environment.catalogue("apply", ESTONIA)
     assert result.exit_code == 0
-    assert servers.core.revision == 12
+    assert environment.store.revision == 12
 
 
-def test_faults_of_files_are_named(
-    servers: conftest.Servers, tmp_path: pathlib.Path
+def test_errors_in_files_are_reported(
+    environment: conftest.CommandEnvironment, tmp_path: pathlib.Path
 ) -> None:
     """Guard against an invalid entry that reaches the store."""
-    bad = tmp_path / "bad.yaml"
+    invalid_file = tmp_path / "invalid.yaml"
     text = pathlib.Path(ESTONIA).read_text()
-    bad.write_text(text.replace("deadline_s: 30.0", "deadline_s: 31.0"))
-    result = servers.catalogue("apply", str(bad))
+    invalid_file.write_text(
+        text.replace("deadline_s: 30.0", "deadline_s: 31.0")
+    )
+    result = environment.catalogue("apply", str(invalid_file))
     assert result.exit_code == 3
     assert "entry 12: deadline_s: is 31.0; allowed: less" in result.stderr
     for content in ("a: [", "", "- revision: x\n  kind: work\n"):
-        bad.write_text(content)
-        assert servers.catalogue("apply", str(bad)).exit_code == 3
-    assert servers.catalogue("apply", str(tmp_path)).exit_code == 3
-    assert servers.core.revision == 0
+        invalid_file.write_text(content)
+        assert environment.catalogue("apply", str(invalid_file)).exit_code == 3
+    assert environment.catalogue("apply", str(tmp_path)).exit_code == 3
+    assert environment.store.revision == 0
 
 
-def test_wait_names_the_hosts_that_lag(servers: conftest.Servers) -> None:
-    """Guard against a change that is reported in force before it is."""
-    url = servers.host.url
+def test_wait_reports_lagging_hosts(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against reporting a change in force before it is."""
+    url = environment.entry_host.url
     wait = ("--wait", "--entry-host-url", url, "--timeout-s", "0.6")
-    servers.host.answers[STATUS_PATH] = (200, status_body(12, 11))
-    result = servers.catalogue("apply", ESTONIA, *wait)
+    environment.entry_host.answers[STATUS_PATH] = (200, status_body(12, 11))
+    result = environment.catalogue("apply", ESTONIA, *wait)
     assert result.exit_code == 7
     assert "not in force after 0.6 s on: eh2 (at 11)" in result.stderr
-    servers.host.answers[STATUS_PATH] = (
+    environment.entry_host.answers[STATUS_PATH] = (
         200,
         status_body(12, 12, rejected={"work/pay-fee": "owner: is 1"}),
     )
-    result = servers.catalogue("apply", ESTONIA, *wait)
+    result = environment.catalogue("apply", ESTONIA, *wait)
     assert result.exit_code == 7
     assert "hosts refused work/pay-fee: owner: is 1" in result.stderr
-    servers.host.answers[STATUS_PATH] = (200, status_body(12, 12))
-    # An entry host that does not answer may be isolated, and still serve.
-    dead = "http://127.0.0.1:1"
-    result = servers.catalogue(
-        "apply", ESTONIA, *wait, "--entry-host-url", dead
+    environment.entry_host.answers[STATUS_PATH] = (200, status_body(12, 12))
+    # An entry host that does not answer may be isolated and still serve.
+    unreachable_url = "http://127.0.0.1:1"
+    result = environment.catalogue(
+        "apply", ESTONIA, *wait, "--entry-host-url", unreachable_url
     )
     assert result.exit_code == 7
-    assert f"{dead} (no answer)" in result.stderr
-    result = servers.catalogue("apply", ESTONIA, *wait)
+    assert f"{unreachable_url} (no answer)" in result.stderr
+    result = environment.catalogue("apply", ESTONIA, *wait)
     assert result.exit_code == 0
     assert result.stdout.endswith("in force on every host\n")
-    servers.host.answers.clear()
-    assert servers.catalogue("apply", ESTONIA, *wait).exit_code == 8
+    environment.entry_host.answers.clear()
+    assert environment.catalogue("apply", ESTONIA, *wait).exit_code == 8
 
 
-def test_wait_returns_when_the_last_host_has_it(
-    servers: conftest.Servers,
+def test_wait_ends_when_the_last_host_has_the_change(
+    environment: conftest.CommandEnvironment,
 ) -> None:
-    """Guard against a wait that asks only once."""
-    servers.host.answers[STATUS_PATH] = (200, status_body(12, 3))
+    """Guard against a wait that queries the hosts only once."""
+    environment.entry_host.answers[STATUS_PATH] = (200, status_body(12, 3))
 
-    def catch_up() -> None:
+    def update_last_host() -> None:
         time.sleep(1.0)
-        servers.host.answers[STATUS_PATH] = (200, status_body(12, 12))
+        environment.entry_host.answers[STATUS_PATH] = (
+            200,
+            status_body(12, 12),
+        )
 
-    thread = threading.Thread(target=catch_up)
+    thread = threading.Thread(target=update_last_host)
     thread.start()
-    result = servers.catalogue(
+    result = environment.catalogue(
         *("apply", ESTONIA, "--wait", "--json"),
-        *("--entry-host-url", servers.host.url),
+        *("--entry-host-url", environment.entry_host.url),
     )
     thread.join()
     assert result.exit_code == 0
     assert json.loads(result.stdout)["in_force"] is True
 
 
-def test_status(servers: conftest.Servers) -> None:
-    """Guard against a status that hides lagging hosts and refusals."""
-    servers.host.answers[STATUS_PATH] = (
+def test_status_shows_lagging_hosts_and_rejections(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against a status that hides lagging hosts or rejections."""
+    environment.entry_host.answers[STATUS_PATH] = (
         200,
         status_body(5, 4, rejected={"work/w": "owner: is 1"}),
     )
-    ask = ("catalogue", "status", "--entry-host-url", servers.host.url)
-    result = servers.run(*ask)
+    command = (
+        "catalogue",
+        "status",
+        "--entry-host-url",
+        environment.entry_host.url,
+    )
+    result = environment.run(*command)
     assert result.exit_code == 0
     assert "eh2   tallinn-a          4         serving" in result.stdout
     assert "refused work/w: owner: is 1" in result.stderr
-    assert servers.run(*ask, "--revision", "4").exit_code == 0
-    result = servers.run(*ask, "--revision", "5", "--json")
+    assert environment.run(*command, "--revision", "4").exit_code == 0
+    result = environment.run(*command, "--revision", "5", "--json")
     assert result.exit_code == 7
     assert "eh2 (at 4)" in result.stderr
-    assert json.loads(result.stdout)[servers.host.url]["position"] == 5
+    assert (
+        json.loads(result.stdout)[environment.entry_host.url]["position"] == 5
+    )
 
 
-def test_store_that_is_down(servers: conftest.Servers) -> None:
-    """Guard against an exit code that hides the outage."""
-    servers.core.faults.down = True
-    result = servers.catalogue("apply", ESTONIA, "--json")
+def test_store_outage_has_its_own_exit_code(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against an exit code that does not show an outage."""
+    environment.store.faults.down = True
+    result = environment.catalogue("apply", ESTONIA, "--json")
     assert result.exit_code == 5
     refusal = json.loads(result.stdout)["refusal"]
     assert refusal["name"] == "STORE_UNAVAILABLE"
@@ -188,17 +211,17 @@
         ("SAMPHIRELUG_KIND", "queue", "region, link"),
     ],
 )
-def test_bad_setting_is_one_line(
-    servers: conftest.Servers,
+def test_invalid_variable_is_reported_in_one_line(
+    environment: conftest.CommandEnvironment,
     monkeypatch: pytest.MonkeyPatch,
     variable: str,
     value: str,
     allowed: str,
 ) -> None:
-    """Guard against a bad environment variable that is taken as is."""
-    monkeypatch.setenv("SAMPHIRELUG_STORE_URL", servers.store_url)
+    """Guard against an invalid environment variable that is accepted."""
+    monkeypatch.setenv("SAMPHIRELUG_STORE_URL", environment.store_url)
     monkeypatch.setenv(variable, value)
-    result = servers.run("catalogue", "list")
+    result = environment.run("catalogue", "list")
     assert result.exit_code == 2
     assert result.stderr.count("\n") == 1
     flag = variable.removeprefix("SAMPHIRELUG_").lower().replace("_", "-")
@@ -219,10 +242,10 @@
         ("status", "--entry-host-url", "x"),
     ],
 )
-def test_bad_flag_is_one_line(
-    servers: conftest.Servers, arguments: tuple[str, ...]
+def test_invalid_flag_is_reported_in_one_line(
+    environment: conftest.CommandEnvironment, arguments: tuple[str, ...]
 ) -> None:
-    """Guard against a bad flag that is taken as is."""
-    result = servers.run(*arguments)
+    """Guard against an invalid flag that is accepted."""
+    result = environment.run(*arguments)
     assert result.exit_code == 2
     assert result.stderr.count("\n") == 1
--- a/tests/components/commands/test_entry_host.py
+++ b/tests/components/commands/test_entry_host.py
@@ -1,4 +1,4 @@
-"""Test how the entry host's command takes bad settings."""
+"""Test how the command entry-host run reports invalid settings."""
 
 import socket
 
@@ -6,7 +6,7 @@
 
 from tests.components.commands import conftest
 
-GOOD = {
+VALID_FLAGS = {
     "--name": "eh1",
     "--availability-zone": "tallinn-a",
     "--region": "tallinn",
@@ -21,10 +21,12 @@
 }
 
 
-def run(servers: conftest.Servers, flags: dict[str, str]) -> str:
-    """Return the line of standard error, after checking the exit code."""
-    words = [word for pair in flags.items() for word in pair]
-    result = servers.run("entry-host", "run", *words)
+def run(
+    environment: conftest.CommandEnvironment, flags: dict[str, str]
+) -> str:
+    """Return the error line of a command that exits with code 2."""
+    arguments = [argument for pair in flags.items() for argument in pair]
+    result = environment.run("entry-host", "run", *arguments)
     assert result.exit_code == 2, result.stderr
     assert result.stderr.count("\n") == 1
     return str(result.stderr)
@@ -46,41 +48,49 @@
         ("--log-level", "LOUD", "DEBUG, INFO"),
     ],
 )
-def test_bad_value_is_one_line(
-    servers: conftest.Servers, flag: str, value: str, allowed: str
+def test_invalid_value_is_reported_in_one_line(
+    environment: conftest.CommandEnvironment,
+    flag: str,
+    value: str,
+    allowed: str,
 ) -> None:
-    """Guard against a bad setting that is taken, or met by a traceback."""
-    line = run(servers, {**GOOD, flag: value})
+    """Guard against a setting that is accepted or ends in a traceback."""
+    line = run(environment, {**VALID_FLAGS, flag: value})
     for part in (flag, repr(value).strip("'"), allowed):
         assert part in line
 
 
-@pytest.mark.parametrize("flag", list(GOOD)[:5])
-def test_missing_flag_is_one_line(
-    servers: conftest.Servers, flag: str
+@pytest.mark.parametrize("flag", list(VALID_FLAGS)[:5])
+def test_missing_flag_is_reported_in_one_line(
+    environment: conftest.CommandEnvironment, flag: str
 ) -> None:
-    """Guard against a start that does not say which setting it lacks."""
-    line = run(servers, {key: GOOD[key] for key in GOOD if key != flag})
+    """Guard against an error that does not name the missing setting."""
+    line = run(
+        environment,
+        {key: VALID_FLAGS[key] for key in VALID_FLAGS if key != flag},
+    )
     variable = f"SAMPHIRELUG_{flag[2:].upper().replace('-', '_')}"
     assert flag in line
     assert variable in line
     assert "Allowed: " in line
 
 
-def test_short_secret_is_not_printed(servers: conftest.Servers) -> None:
-    """Guard against a secret that an error message shows."""
-    line = run(servers, {**GOOD, "--cluster-secret": "tooshort"})
+def test_short_secret_is_not_printed(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against an error message that contains the secret."""
+    line = run(environment, {**VALID_FLAGS, "--cluster-secret": "tooshort"})
     assert "at least 16 characters" in line
     assert "tooshort" not in line
 
 
 @pytest.mark.parametrize("flag", ["--export-port", "--operator-port"])
-def test_address_in_use_is_one_line(
-    servers: conftest.Servers, flag: str
+def test_address_in_use_is_reported_in_one_line(
+    environment: conftest.CommandEnvironment, flag: str
 ) -> None:
-    """Guard against a traceback when another process has the port."""
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = str(taken.getsockname()[1])
-        line = run(servers, {**GOOD, flag: port})
+    """Guard against a traceback when another process uses the port."""
+    with socket.create_server(("127.0.0.1", 0)) as other_socket:
+        port = str(other_socket.getsockname()[1])
+        line = run(environment, {**VALID_FLAGS, flag: port})
     for part in (flag, port, "127.0.0.1", "Address already in use"):
         assert part in line
--- a/tests/components/commands/test_explain.py
+++ b/tests/components/commands/test_explain.py
@@ -1,4 +1,4 @@
-"""Test the story of a request from the logs of entry hosts."""
+"""Test the report on a request from the logs of entry hosts."""
 
 import pathlib
 
@@ -21,8 +21,10 @@
 }
 
 
-def line(second: int, message: str, host: str = "h1", **fields: object) -> str:
-    """Return a log line as a collector stores it."""
+def log_line(
+    second: int, message: str, host: str = "h1", **fields: object
+) -> str:
+    """Return a log line with the text that a collector adds."""
     return (
         f"  {second}.0 {host} "
         + orjson.dumps(
@@ -39,12 +41,12 @@
 
 
 LINES = [
-    line(1, "store lost", detail="status 503"),
-    line(2, "backend server paused", server="i-1", reason="not_sent"),
-    line(2, "backend server paused", server="i-2", reason="not_sent"),
-    line(3, "store lost", host="h2", detail="status 503"),
+    log_line(1, "store lost", detail="status 503"),
+    log_line(2, "backend server paused", server="i-1", reason="not_sent"),
+    log_line(2, "backend server paused", server="i-2", reason="not_sent"),
+    log_line(3, "store lost", host="h2", detail="status 503"),
     "a line that is no JSON {",
-    line(
+    log_line(
         5,
         "request ended",
         request_id="r1",
@@ -59,7 +61,7 @@
         code="BACKEND_TIMEOUT",
         detail="no whole answer in time",
     ),
-    line(
+    log_line(
         30,
         "request ended",
         request_id="r2",
@@ -73,37 +75,39 @@
 ]
 
 
-def tell(request_id: str, *, window_s: float = 10.0) -> str:
-    """Return the story as one text."""
+def describe_request(request_id: str, *, window_s: float = 10.0) -> str:
+    """Return the report as one text."""
     log = list(explain.parse(LINES))
-    return "\n".join(explain.tell(log, request_id, window_s=window_s))
+    return "\n".join(
+        explain.describe_request(log, request_id, window_s=window_s)
+    )
 
 
-def test_attempts_and_what_the_host_believed_are_told() -> None:
+def test_attempts_and_estimated_loads_are_reported() -> None:
     """Guard against a failed request whose cause cannot be found."""
-    story = tell("r1")
-    assert "504 BACKEND_TIMEOUT" in story
-    assert "1.5 requests for 3 slots (40 ms old): timeout" in story
-    assert "configuration 6 in force for 2.5 s" in story
+    report = describe_request("r1")
+    assert "504 BACKEND_TIMEOUT" in report
+    assert "1.5 requests for 3 slots (40 ms old): timeout" in report
+    assert "configuration 6 in force for 2.5 s" in report
 
 
-def test_only_events_of_the_same_host_and_servers_are_told() -> None:
-    """Guard against causes that the host did not know of."""
-    story = tell("r1")
-    assert "4.000 s before: store lost" in story
-    assert "server=i-1" in story
-    assert "server=i-2" not in story
+def test_only_events_of_the_same_host_and_servers_are_reported() -> None:
+    """Guard against causes that the host could not know of."""
+    report = describe_request("r1")
+    assert "4.000 s before: store lost" in report
+    assert "server=i-1" in report
+    assert "server=i-2" not in report
 
 
-def test_servers_that_were_only_considered_are_followed() -> None:
-    """Guard against a refusal whose full servers are not explained."""
-    assert "server=i-2" in tell("r2", window_s=60.0)
-    assert "server=i-2" not in tell("r2")
-    assert "sent to no server" in tell("r2")
+def test_events_of_servers_named_in_a_refusal_are_reported() -> None:
+    """Guard against a refusal without the events of its full servers."""
+    assert "server=i-2" in describe_request("r2", window_s=60.0)
+    assert "server=i-2" not in describe_request("r2")
+    assert "sent to no server" in describe_request("r2")
 
 
-def test_unknown_request_has_its_own_exit_code(tmp_path: pathlib.Path) -> None:
-    """Guard against silence about a request that no host read."""
+def test_unknown_request_exits_with_code_1(tmp_path: pathlib.Path) -> None:
+    """Guard against success for a request that no host logged."""
     path = tmp_path / "day.log"
     path.write_text("\n".join(LINES))
     runner = testing.CliRunner()
--- a/tests/components/commands/test_lookup.py
+++ b/tests/components/commands/test_lookup.py
@@ -21,24 +21,26 @@
 }
 
 
-def test_lookup(servers: conftest.Servers) -> None:
-    """Guard against a command that gives up at the first dead host."""
-    ask = (
+def test_lookup_tries_the_next_host(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against a command that stops at an unreachable host."""
+    command = (
         *("lookup", "case-status", "--from", "tartu-a"),
         *("--caller-url", "http://127.0.0.1:1"),
-        *("--caller-url", servers.host.url),
+        *("--caller-url", environment.entry_host.url),
     )
-    servers.host.answers[PATH] = (200, ANSWER)
-    result = servers.run(*ask, "--json")
+    environment.entry_host.answers[PATH] = (200, ANSWER)
+    result = environment.run(*command, "--json")
     assert result.exit_code == 0
     assert json.loads(result.stdout) == ANSWER
-    assert "eh1   tartu-a" in servers.run(*ask).stdout
-    servers.host.answers[PATH] = (
+    assert "eh1   tartu-a" in environment.run(*command).stdout
+    environment.entry_host.answers[PATH] = (
         404,
         {"code": 1002, "name": "UNKNOWN_WORK", "detail": "no such work"},
     )
-    result = servers.run(*ask)
+    result = environment.run(*command)
     assert result.exit_code == 1
     assert "UNKNOWN_WORK (1002)" in result.stderr
-    servers.host.answers[PATH] = (500, [])
-    assert servers.run(*ask).exit_code == 8
+    environment.entry_host.answers[PATH] = (500, [])
+    assert environment.run(*command).exit_code == 8
--- a/tests/components/commands/test_status.py
+++ b/tests/components/commands/test_status.py
@@ -33,29 +33,38 @@
 }
 
 
-def test_status(servers: conftest.Servers) -> None:
-    """Guard against a status that leaves out hosts that do not answer."""
-    servers.host.answers["/v1/status"] = (200, {"state": "serving"})
-    ask = ("status", "--entry-host-url", servers.host.url)
-    result = servers.run(*ask)
+def test_status_reports_unreachable_hosts(
+    environment: conftest.CommandEnvironment,
+) -> None:
+    """Guard against a status that omits hosts that do not answer."""
+    environment.entry_host.answers["/v1/status"] = (200, {"state": "serving"})
+    command = ("status", "--entry-host-url", environment.entry_host.url)
+    result = environment.run(*command)
     assert result.exit_code == 0
     # A host of another version may lack fields.
     assert "-     -     serving  -" in result.stdout
-    dead = "http://127.0.0.1:1"
-    result = servers.run(*ask, "--entry-host-url", dead, "--json")
+    unreachable_url = "http://127.0.0.1:1"
+    result = environment.run(
+        *command, "--entry-host-url", unreachable_url, "--json"
+    )
     assert result.exit_code == 8
     body = json.loads(result.stdout)
-    assert body[servers.host.url] == {"state": "serving"}
-    assert body[dead]["name"] == "ENTRY_HOST_UNREACHABLE"
+    assert body[environment.entry_host.url] == {"state": "serving"}
+    assert body[unreachable_url]["name"] == "ENTRY_HOST_UNREACHABLE"
 
 
-def test_tables_show_what_operators_ask_for(
-    servers: conftest.Servers,
+def test_tables_show_all_fields(
+    environment: conftest.CommandEnvironment,
 ) -> None:
-    """Guard against a field that the view drops; --watch ends by itself."""
-    servers.host.answers["/v1/status"] = (200, STATUS)
-    ask = ("status", "--watch", "--entry-host-url", servers.host.url)
-    result = servers.run(*ask)
+    """Guard against missing fields, and --watch that does not end."""
+    environment.entry_host.answers["/v1/status"] = (200, STATUS)
+    command = (
+        "status",
+        "--watch",
+        "--entry-host-url",
+        environment.entry_host.url,
+    )
+    result = environment.run(*command)
     assert result.exit_code == 0
     rows = {" ".join(line.split()) for line in result.stdout.splitlines()}
     assert {
