--- a/src/samphirelug/components/catalogue/model.py
+++ b/src/samphirelug/components/catalogue/model.py
@@ -140,8 +140,8 @@
 class CatalogueDelta(NamedTuple):
     """Hold the latest versions of the entries that changed after since.
 
-    Includes tombstones and may include versions above revision. Unless sent
-    as part of a larger delta, it lacks no change up to revision.
+    Includes tombstones and may include versions above revision. Contains all
+    changes up to revision, unless it is sent as part of a larger delta.
     """
 
     since: int
--- a/src/samphirelug/components/catalogue/state.py
+++ b/src/samphirelug/components/catalogue/state.py
@@ -108,7 +108,7 @@
         return model.CatalogueDelta(since, self.position, tuple(found))
 
     def pop_repair(self) -> model.CatalogueDelta | None:
-        """Return and forget the late changes, which peers may lack."""
+        """Return the late changes, which peers may lack, and clear them."""
         since, self.repair_since = self.repair_since, None
         return None if since is None else self.delta_since(since)
 
--- a/src/samphirelug/components/catalogue/sync.py
+++ b/src/samphirelug/components/catalogue/sync.py
@@ -57,9 +57,9 @@
 # pause after a pull that brought no change, a host with many peers would pull
 # five times a second.
 EMPTY_PULL_PAUSE_S = 1.0
-BACKOFF_FIRST_S = 0.25
+INITIAL_BACKOFF_S = 0.25
 # Half of the 4 s within which a change has to be in force.
-BACKOFF_MAX_S = 2.0
+MAX_BACKOFF_S = 2.0
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -217,7 +217,7 @@
         self._finish_store_read(up_to_date)
         if not self.state.position:
             # Avoids a busy loop while the store is empty.
-            await self.timer.sleep(BACKOFF_MAX_S)
+            await self.timer.sleep(MAX_BACKOFF_S)
 
     def _apply_watch(self, listing: store_model.Listing, after: int) -> None:
         up_to_date = listing.revision >= self.state.position
@@ -241,7 +241,7 @@
                 refusal.detail,
             )
         limit_s = min(
-            BACKOFF_MAX_S, BACKOFF_FIRST_S * 2.0 ** min(self.failures, 8)
+            MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(self.failures, 8)
         )
         await self.timer.sleep(self.rng.uniform(limit_s / 2.0, limit_s))
 
--- a/src/samphirelug/components/catalogue/view.py
+++ b/src/samphirelug/components/catalogue/view.py
@@ -89,8 +89,8 @@
                 self.zones[name] = core.AvailabilityZone(name, region["name"])
 
     def _index_servers(self) -> None:
-        # Optimized: a catalogue has thousands of servers, and each change of
-        # the catalogue builds a new view.
+        # Local names save attribute look-ups: a catalogue has thousands of
+        # servers, and each change of the catalogue builds a new view.
         zones, servers, servers_in = self.zones, self.servers, self._servers_in
         for service in self.services.values():
             name = service["name"]
--- a/src/samphirelug/components/catalogue/writer.py
+++ b/src/samphirelug/components/catalogue/writer.py
@@ -17,10 +17,10 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-# Bounds how long an operator waits while answers are lost. A store that
-# answers settles the outcome within the first of these.
+# Limits how long an operator waits while answers are lost. If the store
+# answers, the outcome is known after the first few attempts.
 MAX_ATTEMPTS = 6
-FIRST_RETRY_DELAY_S = 0.1
+INITIAL_RETRY_DELAY_S = 0.1
 # Entries refer only to entries of kinds with a lower number.
 KIND_ORDER = {kind: number for number, kind in enumerate(schema.KINDS)}
 
@@ -212,7 +212,7 @@
         )
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                delay_s = FIRST_RETRY_DELAY_S * 2.0 ** (attempt - 1)
+                delay_s = INITIAL_RETRY_DELAY_S * 2.0 ** (attempt - 1)
                 await self.timer.sleep(max(delay_s, refusal.retry_after_s))
             if answer_lost or conflicted:
                 read_back = await self._read_back(
--- a/tests/components/catalogue/test_schema.py
+++ b/tests/components/catalogue/test_schema.py
@@ -16,6 +16,7 @@
 
 
 def small_catalogue() -> dict[str, schema.Entry]:
+    """Return the entries of a valid catalogue by key."""
     view = builders.make_view()
     entries: list[schema.Entry] = [
         *view.regions.values(),
@@ -52,7 +53,7 @@
     assert result.failure() == snapshot
 
 
-def test_problems_within_an_entry() -> None:
+def test_problems_within_an_entry_are_reported() -> None:
     """Guard against duplicate names, bad ports and oversized entries."""
     service = builders.make_service("s", zones=["a", "a"])
     service["servers"][0]["address"] = "127.0.0.1:70000"
@@ -86,7 +87,7 @@
     assert result == Success(work)
 
 
-def test_references_between_entries() -> None:
+def test_problems_between_entries_are_reported() -> None:
     """Guard against references to missing entries, and duplicate names."""
     entries = small_catalogue()
     assert schema.problems(entries) == ()
--- a/tests/components/catalogue/test_state.py
+++ b/tests/components/catalogue/test_state.py
@@ -18,6 +18,7 @@
 def write(
     store: store_standin.StoreCore, key: str, *, valid: bool, deleted: bool
 ) -> None:
+    """Write a version of an entry, whose cap is the new revision."""
     name = key.partition("/")[2]
     entry = builders.make_work(name, work_class=core.WorkClass.STATUS)
     entry["max_in_flight_per_region"] = store.revision + 1
--- a/tests/components/catalogue/test_sync.py
+++ b/tests/components/catalogue/test_sync.py
@@ -192,7 +192,7 @@
     run_in_cluster(body)
 
 
-def test_start_without_store_or_peers() -> None:
+def test_start_without_store_and_peers_waits_for_the_store() -> None:
     """Guard against serving without a catalogue, or never recovering."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
@@ -264,7 +264,7 @@
     run_in_cluster(body)
 
 
-def test_store_calls_during_and_after_an_outage() -> None:
+def test_hosts_limit_calls_in_an_outage_and_recover() -> None:
     """Guard against retries without a pause, and against late recovery."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
@@ -357,6 +357,7 @@
 
 
 async def run_schedule(seed: int, steps: list[tuple[str, str, float]]) -> None:
+    """Run the steps, end all faults and check the hosts."""
     cluster = catalogue_cluster.Cluster(seed=seed)
     checker = RegressionChecker(cluster=cluster)
     faults = cluster.store_core.faults
--- a/tests/components/catalogue/test_writer.py
+++ b/tests/components/catalogue/test_writer.py
@@ -24,8 +24,8 @@
 from standins import store as store_standin
 
 Value = TypeVar("Value")
-CODES = result_codes.ResultCode
-OUTCOMES = catalogue_writer.EntryOutcome
+Code = result_codes.ResultCode
+Outcome = catalogue_writer.EntryOutcome
 # What happens to one write; after "lose_store" the store is unreachable.
 FAULTS = (
     "none",
@@ -57,7 +57,7 @@
         fault = next(self.plan, "none")
         if fault == "refuse":
             return Failure(
-                result_codes.Refusal(CODES.STORE_UNAVAILABLE, "refused")
+                result_codes.Refusal(Code.STORE_UNAVAILABLE, "refused")
             )
         if fault == "delay_request":
             # The client times out before the store receives the request.
@@ -76,7 +76,7 @@
         if fault == "lose_store":
             self.reachable = False
         return Failure(
-            result_codes.Refusal(CODES.STORE_OUTCOME_UNKNOWN, "lost")
+            result_codes.Refusal(Code.STORE_OUTCOME_UNKNOWN, "lost")
         )
 
 
@@ -124,12 +124,14 @@
 
 
 def make_work(cap: int) -> schema.Entry:
+    """Return a version of a work entry that its cap identifies."""
     work = builders.make_work("w", work_class=core.WorkClass.STATUS)
     work["max_in_flight_per_region"] = cap
     return work
 
 
 def small_catalogue() -> dict[str, schema.Entry | None]:
+    """Return entries, those that refer to others before the others."""
     view = builders.make_view()
     entries: list[schema.Entry] = [
         *view.works.values(),
@@ -141,7 +143,7 @@
 
 
 def keys_with_outcome(
-    report: catalogue_writer.ApplyReport, outcome: OUTCOMES
+    report: catalogue_writer.ApplyReport, outcome: Outcome
 ) -> list[str]:
     return [item.key for item in report.entries if item.outcome is outcome]
 
@@ -151,7 +153,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(PLANS, PLANS, strategies.integers(0, 20), strategies.booleans())
-def test_concurrent_operators_with_lost_requests_and_answers(
+def test_at_most_one_of_two_concurrent_changes_takes_effect(
     first_plan: list[str],
     second_plan: list[str],
     delay_steps: int,
@@ -159,8 +161,9 @@
 ) -> None:
     """Guard against writes that take effect twice or fail unnoticed.
 
-    Both operators change the entry from the same revision, so at most one
-    change takes effect, and each report states the outcome of its own change.
+    Both operators change the entry from the same revision, and some of their
+    requests and answers are lost or late. Each report states the outcome of
+    its own change.
     """
     store = store_standin.StoreCore()
     apply_change(store, {**small_catalogue(), "work/w": make_work(1)})
@@ -198,23 +201,23 @@
     for name, report in zip("ab", reports, strict=True):
         own_change = written == [f"{name}-0"]
         outcome = report.entries[0].outcome
-        code = report.refusal.code if report.refusal else CODES.OK
-        if outcome is OUTCOMES.APPLIED:
-            assert code is CODES.OK
+        code = report.refusal.code if report.refusal else Code.OK
+        if outcome is Outcome.APPLIED:
+            assert code is Code.OK
             assert own_change
             assert report.revision == store.revision
-        elif outcome is OUTCOMES.NOT_APPLIED:
-            assert code in (CODES.CATALOGUE_CONFLICT, CODES.STORE_UNAVAILABLE)
+        elif outcome is Outcome.NOT_APPLIED:
+            assert code in (Code.CATALOGUE_CONFLICT, Code.STORE_UNAVAILABLE)
             assert not own_change
         else:
-            assert code is CODES.STORE_OUTCOME_UNKNOWN
+            assert code is Code.STORE_OUTCOME_UNKNOWN
     if not {"lose_store", "refuse"} & {*first_plan, *second_plan}:
         # If the store can be read, no outcome remains unknown.
         codes = sorted(
-            report.refusal.code if report.refusal else CODES.OK
+            report.refusal.code if report.refusal else Code.OK
             for report in reports
         )
-        assert codes == [CODES.OK, CODES.CATALOGUE_CONFLICT]
+        assert codes == [Code.OK, Code.CATALOGUE_CONFLICT]
 
 
 def test_conflict_shows_both_versions() -> None:
@@ -227,7 +230,7 @@
         store, {"work/w": make_work(3)}, expected={"work/w": base}
     )
     assert report.refusal is not None
-    assert report.refusal.code is CODES.CATALOGUE_CONFLICT
+    assert report.refusal.code is Code.CATALOGUE_CONFLICT
     assert "max_in_flight_per_region: 2" in report.refusal.detail
     assert "max_in_flight_per_region: 3" in report.refusal.detail
     report = apply_change(store, {"work/w": None}, expected={"work/w": base})
@@ -241,7 +244,7 @@
     wanted = small_catalogue()
     report = apply_change(store, wanted)
     assert report.refusal is None
-    assert set(keys_with_outcome(report, OUTCOMES.APPLIED)) == wanted.keys()
+    assert set(keys_with_outcome(report, Outcome.APPLIED)) == wanted.keys()
     entries: dict[str, schema.Entry] = {}
     for stored in store.history:
         item = codec.decode_object(stored).unwrap()
@@ -249,7 +252,7 @@
         entries[item.key] = item.entry
         assert schema.problems(entries) == ()
     again = apply_change(store, wanted)
-    assert set(keys_with_outcome(again, OUTCOMES.UNCHANGED)) == wanted.keys()
+    assert set(keys_with_outcome(again, Outcome.UNCHANGED)) == wanted.keys()
     assert store.revision == len(wanted)
     # Deletions are made in reverse order.
     report = apply_change(store, dict.fromkeys(wanted))
@@ -286,7 +289,7 @@
         },
     )
     assert report.refusal is None
-    assert keys_with_outcome(report, OUTCOMES.APPLIED) == [
+    assert keys_with_outcome(report, Outcome.APPLIED) == [
         "backend-service/fees",
         "backend-service/filing",
     ]
@@ -300,10 +303,10 @@
     for key in ("backend-service/filing", "region/tallinn"):
         report = apply_change(store, {key: None})
         assert report.refusal is not None
-        assert report.refusal.code is CODES.CATALOGUE_INVALID
+        assert report.refusal.code is Code.CATALOGUE_INVALID
     report = apply_change(store, {"work/none": None})
     assert report.refusal is not None
-    assert report.refusal.code is CODES.OBJECT_NOT_FOUND
+    assert report.refusal.code is Code.OBJECT_NOT_FOUND
     assert store.revision == before
 
 
@@ -313,11 +316,11 @@
     wanted = small_catalogue()
     report = apply_change(store, wanted, plan=["none", "none", "lose_store"])
     assert report.refusal is not None
-    assert report.refusal.code is CODES.STORE_OUTCOME_UNKNOWN
-    assert len(keys_with_outcome(report, OUTCOMES.APPLIED)) == 2
-    assert len(keys_with_outcome(report, OUTCOMES.UNKNOWN)) == 1
+    assert report.refusal.code is Code.STORE_OUTCOME_UNKNOWN
+    assert len(keys_with_outcome(report, Outcome.APPLIED)) == 2
+    assert len(keys_with_outcome(report, Outcome.UNKNOWN)) == 1
     assert (
-        len(keys_with_outcome(report, OUTCOMES.NOT_APPLIED)) == len(wanted) - 3
+        len(keys_with_outcome(report, Outcome.NOT_APPLIED)) == len(wanted) - 3
     )
     # Applying the same file again completes the change.
     assert apply_change(store, wanted).refusal is None
