--- a/src/samphirelug/components/backend/io_client.py
+++ b/src/samphirelug/components/backend/io_client.py
@@ -21,7 +21,7 @@
 from samphirelug import const
 from samphirelug import core
 from samphirelug.helpers import http_fields
-from samphirelug.helpers import timer as timer_module
+from samphirelug.helpers import timer as timer_helper
 
 # Request header fields that the client sets itself. Expect is only dropped, as
 # the body is sent at once.
@@ -202,7 +202,7 @@
     def __init__(
         self,
         *,
-        timer: timer_module.TimerService,
+        timer: timer_helper.TimerService,
         connect_timeout_s: float = backend_const.CONNECT_TIMEOUT_S,
     ) -> None:
         self.timer = timer
--- a/src/samphirelug/components/backend/prober.py
+++ b/src/samphirelug/components/backend/prober.py
@@ -14,7 +14,7 @@
 from samphirelug.components.backend import model
 from samphirelug.components.backend import ports
 from samphirelug import core
-from samphirelug.helpers import timer as timer_module
+from samphirelug.helpers import timer as timer_helper
 
 LOG = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
         catalogue: ports.Catalogue,
         backend: backend_client.BackendClient,
         health: ports.ProbedHealth,
-        timer: timer_module.TimerService,
+        timer: timer_helper.TimerService,
         rng: random.Random,
         servers: Callable[[], Iterable[core.BackendServer]],
         interval_s: float = const.PROBE_INTERVAL_S,
@@ -42,8 +42,8 @@
         self.interval_s = interval_s
         # At most one probe of a server runs at a time, even if it is slow.
         self.running: dict[str, asyncio.Task[None]] = {}
-        self.scheduled: dict[str, timer_module.Subscription] = {}
-        self.subscriptions: list[timer_module.Subscription] = []
+        self.scheduled: dict[str, timer_helper.Subscription] = {}
+        self.subscriptions: list[timer_helper.Subscription] = []
 
     def start(self) -> None:
         """Start probing; requires a running event loop."""
--- a/src/samphirelug/components/http/io_pool.py
+++ b/src/samphirelug/components/http/io_pool.py
@@ -60,7 +60,7 @@
             callback=self._close_expired,
         )
 
-    def forget(self, server: fleet_model.ServerInstance) -> None:
+    def close_idle(self, server: fleet_model.ServerInstance) -> None:
         """Close the idle connections to a server that was removed."""
         for connection in self.idle_connections.pop(server.incarnation, ()):
             connection.close()
@@ -68,8 +68,8 @@
     async def send(self, attempt: model.Attempt) -> model.AttemptResult:
         """Return the complete answer or the reason why there is none.
 
-        Cancelling the call resets the connection, which stops the server's
-        work on the request.
+        Cancelling the call resets the connection, on which most servers cancel
+        the request.
         """
         connection = self._take_idle(attempt)
         if connection is None:
--- a/src/samphirelug/components/http/request_parser.py
+++ b/src/samphirelug/components/http/request_parser.py
@@ -46,7 +46,8 @@
         self.limits = limits
         self.timer = timer
         self.parser = httptools.HttpRequestParser(self)
-        # Each with whether the connection stays open after the response.
+        # Each request with whether the connection stays open after the
+        # response.
         self.completed: list[tuple[CallerMessage, bool]] = []
         # Set while the caller waits for "100 Continue" to send the body.
         self.expects_continue = False
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -91,7 +91,7 @@
             host_count=lambda: self.roster.count,
         )
         self.sender = io_pool.PooledSender(timer=timer, names=names)
-        self.registry.on_removed.append(self.sender.forget)
+        self.registry.on_removed.append(self.sender.close_idle)
         self.listener = io_pipeline.CallerListener(
             handler=handler.ForwardingHandler(
                 forwarder=forwarder.Forwarder(
--- a/tests/components/backend/test_io_client.py
+++ b/tests/components/backend/test_io_client.py
@@ -155,7 +155,9 @@
 
 
 @pytest.mark.parametrize(("script", "kind"), FAILURES)
-def test_failure_kind(script: raw_server.Script, kind: FailureKind) -> None:
+def test_failures_are_classified(
+    script: raw_server.Script, kind: FailureKind
+) -> None:
     """Guard against wrong claims about what a server has done.
 
     A request that was sent must not be reported as not run, nor an incomplete
@@ -218,7 +220,7 @@
         send_line_break_in_header,
     ],
 )
-def test_failures_before_sending(
+def test_failure_before_sending_is_reported_as_not_sent(
     case: Callable[[], Awaitable[io_client.AnswerResult]],
 ) -> None:
     """Guard against "outcome unknown" where no byte was sent."""
@@ -259,7 +261,7 @@
         ),
     ],
 )
-def test_complete_answer(
+def test_complete_answers_are_returned(
     answer: bytes, status: int, body: bytes, method: str
 ) -> None:
     """Guard against rejecting answers whose end can be detected."""
@@ -273,7 +275,7 @@
     asyncio.run(scenario())
 
 
-def test_early_refusal_of_large_body() -> None:
+def test_refusal_before_the_body_is_sent_is_returned() -> None:
     """Guard against waiting for a body that the server does not read."""
 
     async def script(connection: raw_server.RawConnection) -> None:
@@ -362,7 +364,7 @@
         (b"up", None),
     ],
 )
-def test_probe(
+def test_probe_accepts_only_valid_health_answers(
     body: bytes, expected: Success[model.HealthReport] | None
 ) -> None:
     """Guard against accepting malformed health answers as reports."""
--- a/tests/components/gateway/test_io_server.py
+++ b/tests/components/gateway/test_io_server.py
@@ -87,7 +87,7 @@
 
 
 def test_rejected_header_blocks_get_a_code() -> None:
-    """Guard against closing a connection without a result code."""
+    """Guard against the bare 400 of tornado, which has no result code."""
 
     async def run(request: bytes) -> int:
         listener = make_listener()
--- a/tests/components/http/test_io_pool.py
+++ b/tests/components/http/test_io_pool.py
@@ -75,7 +75,7 @@
             )
 
         await scenario(sender, attempt, server)
-        sender.forget(attempt().server)
+        sender.close_idle(attempt().server)
         listener.close()
 
     asyncio.run(asyncio.wait_for(main(), 20))
@@ -205,7 +205,7 @@
 
 
 def test_retry_of_a_request_uses_another_connection() -> None:
-    """Guard against a second answer to the first attempt of a request."""
+    """Guard against a retry that gets a late answer to the first attempt."""
 
     async def scenario(
         sender: io_pool.PooledSender,
@@ -296,7 +296,7 @@
 
 
 def test_server_receives_the_remaining_time_and_its_instance_id() -> None:
-    """Guard against a request that another instance runs."""
+    """Guard against a request run too late or by another instance."""
     seen: list[bytes] = []
 
     async def serve(
