--- a/tests/history/hosts.py
+++ b/tests/history/hosts.py
@@ -1,4 +1,4 @@
-"""Run the real entry host on virtual time with fakes at its interfaces."""
+"""Run real entry hosts on virtual time with fakes at their interfaces."""
 
 import asyncio
 from collections.abc import Callable
@@ -44,32 +44,34 @@
 
 METRICS = registry.Metrics()
 SECRET = "a secret of the test cluster"
-LEASE_S = 8.0
-KEEP_S = 3.0
-Answered = Callable[[peer_model.Message | None], None] | None
+SEAT_LEASE_S = 8.0
+LOOKUP_KEEP_S = 3.0
+ReplyCallback = Callable[[peer_model.Message | None], None] | None
+# Keeps references to tasks, since the event loop holds only weak ones.
 TASKS: set[asyncio.Task[Any]] = set()
 
 
 def spawn(work: Coroutine[Any, Any, Any]) -> None:
-    """Run a coroutine; the run cancels what is left at its end."""
+    """Start a task; run_seed() cancels those that are left at its end."""
     task = asyncio.get_running_loop().create_task(work)
     TASKS.add(task)
     task.add_done_callback(TASKS.discard)
 
 
 class Waiter:
-    """Wait for the first of several results."""
+    """Hold a future that takes the first of several results."""
 
     def __init__(self) -> None:
-        self.done = asyncio.get_running_loop().create_future()
+        self.future = asyncio.get_running_loop().create_future()
 
     def resolve(self, result: Any = None) -> None:
-        if not self.done.done():
-            self.done.set_result(result)
+        """Set the result unless there is one."""
+        if not self.future.done():
+            self.future.set_result(result)
 
 
 class Connection(httputil.HTTPConnection):
-    """Hand the reply of one exchange to the caller, unless it is lost."""
+    """Pass the reply of one exchange to the caller unless the host is dead."""
 
     def __init__(self, process: "HostProcess", work_id: str, token: int):
         self.process, self.work_id, self.token = process, work_id, token
@@ -83,36 +85,36 @@
     ) -> "asyncio.Future[None]":
         assert isinstance(start_line, httputil.ResponseStartLine)
         if not self.process.gate.dead:
-            self.process.calls.pop(self, None)
+            self.process.exchanges.pop(self, None)
             text = (chunk or b"").decode()
-            good = start_line.code == 200
-            self.reply(0 if good else json.loads(text)["code"], text)
+            succeeded = start_line.code == 200
+            self.reply(0 if succeeded else json.loads(text)["code"], text)
         return asyncio.get_running_loop().create_future()
 
     def finish(self) -> None:
         pass
 
     def reply(self, code: int | None, body: str = "") -> None:
-        """Give the caller a reply, or None for a lost connection."""
+        """Pass a reply to the caller; code is None for a lost connection."""
         world = self.process.world
-        name = self.process.host.incarnation
+        host = self.process.host.incarnation
         reply = record.Reply(
-            world.now(), self.work_id, self.token, name, code, body
+            world.now(), self.work_id, self.token, host, code, body
         )
         if self.work_id and code is not None:
             world.history.replies.append(reply)
         self.waiter.resolve(reply)
 
 
-class Mesh(peer_mesh.PeerMesh):
-    """Send messages over the world's network."""
+class FakeMesh(peer_mesh.PeerMesh):
+    """Exchange messages over the simulated network."""
 
     def __init__(self, process: "HostProcess") -> None:
         self.process = process
         self.handlers: dict[type, peer_mesh.Handler] = {}
-        self.views: dict[str, peer_model.PeerView] = {}
+        self.peer_views: dict[str, peer_model.PeerView] = {}
         self.on_superseded: list[Callable[[], None]] = []
-        self.early = False
+        self.heartbeat_scheduled = False
 
     async def stop(self) -> None:
         pass
@@ -124,15 +126,17 @@
         """Ignore the host list; every host knows all others."""
 
     def heartbeat_now(self) -> None:
-        if not self.early:
-            self.early = True
+        if not self.heartbeat_scheduled:
+            self.heartbeat_scheduled = True
             timer = self.process.timer
-            timer.call_at(when_s=timer.monotonic() + 0.02, callback=self.beat)
+            timer.call_at(
+                when_s=timer.monotonic() + 0.02, callback=self.send_heartbeat
+            )
 
     def live_peers(self) -> tuple[peer_model.PeerView, ...]:
         since_s = self.process.timer.monotonic() - const.PEER_TIMEOUT_S
-        views = self.views.values()
-        return tuple(view for view in views if view.heard_at_s >= since_s)
+        peer_views = self.peer_views.values()
+        return tuple(view for view in peer_views if view.heard_at_s >= since_s)
 
     async def request(
         self, host: str, message: peer_model.Message, *, timeout_s: float
@@ -142,7 +146,7 @@
         timer = self.process.timer
         when_s = timer.monotonic() + timeout_s
         timer.call_at(when_s=when_s, callback=waiter.resolve)
-        reply = await waiter.done
+        reply = await waiter.future
         if reply is not None:
             return Success(reply)
         code = result_codes.ResultCode.PEER_UNREACHABLE
@@ -159,81 +163,89 @@
     def set_handler(self, kind: type, handler: peer_mesh.Handler) -> None:
         self.handlers[kind] = handler
 
-    def beat(self) -> None:
-        self.early = False
-        self.process.note_state()
+    def send_heartbeat(self) -> None:
+        self.heartbeat_scheduled = False
+        self.process.record_state()
         self.broadcast(self.process.heartbeat())
 
     def transmit(
-        self, name: str, message: peer_model.Message, answered: Answered
+        self, name: str, message: peer_model.Message, on_reply: ReplyCallback
     ) -> None:
         self.process.world.transmit(
             self.process,
             name,
-            lambda peer: peer.net.receive(self.process, message, answered),
+            lambda peer: peer.fake_mesh.receive(
+                self.process, message, on_reply
+            ),
         )
 
     def receive(
         self,
         sender: "HostProcess",
         message: peer_model.Message,
-        answered: Answered,
+        on_reply: ReplyCallback,
     ) -> None:
         name = sender.host.name
         if isinstance(message, peer_model.Heartbeat):
             now = self.process.timer.monotonic()
-            self.views[name] = peer_model.PeerView(message, now, True)
+            self.peer_views[name] = peer_model.PeerView(message, now, True)
             for sighting in message.sightings:
                 self.process.health.apply_sighting(sighting)
             return
 
         async def handle() -> None:
             reply = await self.handlers[type(message)](name, message)
-            if answered is not None and reply is not None:
+            if on_reply is not None and reply is not None:
                 self.process.world.transmit(
-                    self.process, name, lambda _: answered(reply)
+                    self.process, name, lambda _: on_reply(reply)
                 )
 
         spawn(handle())
 
 
-class Store(store_standin.FakeObjectStore):
-    """Give one process's view of the store; answers wait for the process."""
+class FakeStore(store_standin.FakeObjectStore):
+    """Access the store as one process; its pauses delay the answers."""
 
     def __init__(self, process: "HostProcess") -> None:
         super().__init__(core=process.world.core, timer=process.timer)
         self.process = process
 
-    async def _gated(self, call: Coroutine[Any, Any, Any]) -> Any:
+    async def _await_result(self, call: Coroutine[Any, Any, Any]) -> Any:
+        """Return the result of a call once the process receives it."""
         process, waiter = self.process, Waiter()
-        self.reachable = not process.world.is_cut(process.region, "tallinn")
+        # The store is in the region tallinn.
+        self.reachable = not process.world.is_partitioned(
+            process.region, "tallinn"
+        )
         if process.gate.dead:
-            await waiter.done
+            # A dead process receives no results, so this never returns.
+            await waiter.future
         result = await call
         self.process.world.loop.call_later(
             0.002, process.gate.post, waiter.resolve
         )
-        await waiter.done
+        await waiter.future
         if isinstance(result, Success):
-            process.world.saw_store(result.unwrap())
+            process.world.record_host_list(result.unwrap())
         return result
 
     async def get(self, key: str) -> Any:
-        return await self._gated(super().get(key))
+        return await self._await_result(super().get(key))
 
     async def list(self, prefix: str) -> Any:
-        return await self._gated(super().list(prefix))
+        return await self._await_result(super().list(prefix))
 
     async def watch(self, prefix: str, *, after: int, timeout_s: float) -> Any:
         call = super().watch(prefix, after=after, timeout_s=timeout_s)
-        return await self._gated(call)
+        return await self._await_result(call)
 
     async def put(
         self, key: str, value: Mapping[str, Any], *, expected_revision: int
     ) -> Any:
         world = self.process.world
         if world.late_writes and world.rng.random() < 0.5:
-            # Takes effect after the caller has given up waiting.
+            # The client times out after 1 s; the write takes effect before or
+            # after that.
             world.loop.call_later(
                 world.rng.uniform(0.5, 5.0),
                 lambda: self.core.put(key, value, expected_revision),
@@ -242,15 +254,16 @@
             code = result_codes.ResultCode.STORE_OUTCOME_UNKNOWN
             return Failure(result_codes.Refusal(code, key))
         call = super().put(key, value, expected_revision=expected_revision)
-        return await self._gated(call)
+        return await self._await_result(call)
 
 
-def failed(kind: FailureKind) -> Failure[backend_model.BackendFailure]:
+def make_failure(kind: FailureKind) -> Failure[backend_model.BackendFailure]:
+    """Return the failure of an attempt."""
     return Failure(backend_model.BackendFailure(kind, kind.value))
 
 
-class Backend(backend_client.BackendClient):
-    """Send requests to the world's servers."""
+class FakeBackendClient(backend_client.BackendClient):
+    """Send requests to the simulated backend servers."""
 
     def __init__(self, process: "HostProcess") -> None:
         self.process = process
@@ -260,16 +273,16 @@
     ) -> Result[core.Answer, backend_model.BackendFailure]:
         process, waiter = self.process, Waiter()
         if request.deadline_at_s <= process.timer.monotonic():
-            return failed(FailureKind.NOT_SENT)
+            return make_failure(FailureKind.NOT_SENT)
         server = process.world.servers[request.server.name]
         cancel = server.submit(process, request, waiter.resolve)
         process.timer.call_at(
             when_s=request.deadline_at_s,
-            callback=lambda: waiter.resolve(failed(FailureKind.TIMEOUT)),
+            callback=lambda: waiter.resolve(make_failure(FailureKind.TIMEOUT)),
         )
         result: Result[core.Answer, backend_model.BackendFailure] | None = None
         try:
-            result = await waiter.done
+            result = await waiter.future
             return result
         finally:
             if not isinstance(result, Success):
@@ -283,29 +296,38 @@
         process.world.servers[server.name].probe(process, waiter.resolve)
         process.timer.call_at(
             when_s=process.timer.monotonic() + timeout_s,
-            callback=lambda: waiter.resolve(failed(FailureKind.TIMEOUT)),
+            callback=lambda: waiter.resolve(make_failure(FailureKind.TIMEOUT)),
         )
-        result: Result[backend_model.HealthReport, Any] = await waiter.done
+        result: Result[backend_model.HealthReport, Any] = await waiter.future
         return result
 
 
 class HostProcess(entry_host.EntryHostProcess):
-    """Be one incarnation of an entry host."""
+    """Run one incarnation of an entry host in the simulation.
+
+    Sets the attributes of EntryHostProcess itself, since the initialization of
+    that class binds sockets.
+    """
 
     def __init__(
-        self, world: "world_module.World", name: str, zone: str, number: int
+        self,
+        world: "world_module.World",
+        name: str,
+        zone: str,
+        start_number: int,
     ) -> None:
         self.world = world
         self.gate = kernel.Gate(world.loop)
         self.rng = random.Random(world.rng.getrandbits(64))
-        rate, origin_s = self.rng.uniform(0.996, 1.004), 1e4 * number
+        # The clock is up to 0.4 % fast or slow and has an origin of its own.
+        rate, origin_s = self.rng.uniform(0.996, 1.004), 1e4 * start_number
         self.timer: Any = kernel.ProcessTimer(self.gate, rate, origin_s)
         host = builders.make_host(name, zone=zone)
-        self.host = host._replace(incarnation=f"{name}#{number}")
+        self.host = host._replace(incarnation=f"{name}#{start_number}")
         self.region = host.zone.region
         self.settings = settings.EntryHostSettings(
             *(name, zone, self.region, "", "", (0, 0, 0), 0, 0, "", "c"),
-            *(SECRET, (), LEASE_S, KEEP_S, 1.0, "ERROR"),
+            *(SECRET, (), SEAT_LEASE_S, LOOKUP_KEEP_S, 1.0, "ERROR"),
         )
         self.started_at_s = self.timer.monotonic()
         self.metrics = METRICS
@@ -320,17 +342,21 @@
         listener.stop_accepting = lambda: setattr(self, "accepting", False)
         self.listeners = [listener]
         self.issuer = tokens.TokenIssuer(secret=SECRET, timer=self.timer)
-        self.calls: dict[Connection, exchange.CallerExchange] = {}
-        self.net = Mesh(self)
+        self.exchanges: dict[Connection, exchange.CallerExchange] = {}
+        self.fake_mesh = FakeMesh(self)
         self.peer_socket = mock.MagicMock()
         operator = mock.MagicMock(stop=mock.AsyncMock())
         with (
             mock.patch.object(
-                io_http_store, "HttpObjectStore", lambda **_: Store(self)
+                io_http_store, "HttpObjectStore", lambda **_: FakeStore(self)
+            ),
+            mock.patch.object(
+                io_mesh, "WebsocketMesh", lambda **_: self.fake_mesh
             ),
-            mock.patch.object(io_mesh, "WebsocketMesh", lambda **_: self.net),
             mock.patch.object(
-                io_client, "HttpBackendClient", lambda **_: Backend(self)
+                io_client,
+                "HttpBackendClient",
+                lambda **_: FakeBackendClient(self),
             ),
             mock.patch.object(
                 io_operator, "OperatorServer", lambda **_: operator
@@ -339,56 +365,57 @@
             self._build_state()
             self._build_serving()
 
-    async def begin(self) -> None:
-        """Start all parts, as run() does, and follow a planned stop."""
+    async def run_until_stopped(self) -> None:
+        """Start the components, as run() does, and stop when requested."""
         self.lag.start()
         self.timer.subscribe(
-            interval_s=const.HEARTBEAT_INTERVAL_S, callback=self.net.beat
+            interval_s=const.HEARTBEAT_INTERVAL_S,
+            callback=self.fake_mesh.send_heartbeat,
         )
-        for part in (self.sync, self.host_list, self.seats):
-            self._spawn(part.run())
+        for component in (self.sync, self.host_list, self.seats):
+            self._spawn(component.run())
         self.prober.start()
         self._spawn(self._become_serving())
         await self.stop_requested.wait()
         await self._stop()
         if not self.gate.dead:
-            self.world.ended(self, planned=True)
+            self.world.end_process(self, planned=True)
 
     def _on_catalogue(self) -> None:
         super()._on_catalogue()
-        self.note_state()
+        self.record_state()
 
-    def note_state(self) -> None:
-        """Record the position, the entries and the limits in use."""
-        counts = limits.quota_limits(self.catalogue.view)
+    def record_state(self) -> None:
+        """Record the position, the entries and the limits in force."""
+        quota_limits = limits.quota_limits(self.catalogue.view)
         objects = self.catalogue.delta_since(0).objects
-        state = record.State(
+        state = record.HostState(
             self.world.now(),
             self.host.incarnation,
             self.catalogue.position,
             {item.key: item.revision for item in objects},
-            {key: limit.limit for key, limit in counts.items()},
+            {key: limit.limit for key, limit in quota_limits.items()},
         )
-        former = self.world.states.get(state.host)
-        if former is None or former[1:] != state[1:]:
-            self.world.states[state.host] = state
+        previous = self.world.latest_states.get(state.host)
+        if previous is None or previous[1:] != state[1:]:
+            self.world.latest_states[state.host] = state
             self.world.history.states.append(state)
 
-    def open(
+    def receive_request(
         self,
         connection: Connection,
         line: httputil.RequestStartLine,
         headers: Mapping[str, str],
         rank: core.Rank,
     ) -> None:
-        """Take a caller's request that has arrived whole."""
+        """Handle a caller's request that has been received completely."""
         if not self.accepting:
             connection.reply(None)
             return
         handler = exchange.CallerExchange(
             service=self.service, rank=rank, connection=connection
         )
-        self.calls[connection] = handler
+        self.exchanges[connection] = handler
         handler.headers_received(line, httputil.HTTPHeaders(dict(headers)))
         if connection.work_id:
             handler.data_received(connection.work_id.encode())
--- a/tests/history/kernel.py
+++ b/tests/history/kernel.py
@@ -1,4 +1,4 @@
-"""Run an event loop on virtual time, and processes that pause and die."""
+"""Provide an event loop on virtual time and simulate processes on it."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,40 +7,47 @@
 
 from samphirelug.helpers import timer as timer_helper
 
-# Covers the rounding between a process's clock and the loop's, so that no
-# callback runs before its time on the process's own clock.
-ROUNDING_S = 1e-6
-# Far more callbacks than a run needs at one instant.
-MAX_IDLE_ROUNDS = 100_000
+# Added to the loop time of a callback. Without it, the rounding between a
+# process's clock and the loop's clock could run a callback before its time on
+# the process's clock.
+ROUNDING_MARGIN_S = 1e-6
+# Iterations of the event loop at one instant of virtual time, far more than a
+# run needs. More of them mean that virtual time no longer advances.
+MAX_ITERATIONS = 100_000
 
 
-class _Selector(selectors.SelectSelector):
-    """Move virtual time where a real selector would wait."""
+class _VirtualSelector(selectors.SelectSelector):
+    """Advance virtual time where a real selector would wait."""
 
     now_s = 0.0
-    rounds = 0
+    iterations = 0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        assert timeout is not None, "the run waits for nothing"
-        self.rounds = 0 if timeout > 0.0 else self.rounds + 1
-        assert self.rounds < MAX_IDLE_ROUNDS, f"stuck at {self.now_s}"
+        assert timeout is not None, "deadlock: no callback is scheduled"
+        self.iterations = 0 if timeout > 0.0 else self.iterations + 1
+        assert self.iterations < MAX_ITERATIONS, (
+            f"virtual time does not advance beyond {self.now_s} s"
+        )
         self.now_s += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Run callbacks in the order of virtual time only."""
+    """Run callbacks in the order of virtual time, without real waiting."""
 
     def __init__(self) -> None:
-        self.virtual = _Selector()
-        super().__init__(self.virtual)
+        self.virtual_selector = _VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        return self.virtual.now_s
+        return self.virtual_selector.now_s
 
 
 class Gate:
-    """Let outside events reach a process only while it runs."""
+    """Deliver events to a simulated process only while it runs.
+
+    Events of a paused process are queued, those of a dead one dropped.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -50,13 +57,14 @@
     def post(
         self, callback: Callable[[], None], *, timer: bool = False
     ) -> None:
+        """Run the callback of an event, or queue or drop it."""
         if self.paused and not self.dead:
             self.backlog.append((timer, callback))
         elif not self.dead:
             callback()
 
     def resume(self) -> None:
-        """Run what has come due; an event loop reads its sockets first."""
+        """Run the queued callbacks, I/O before timers as event loops do."""
         self.paused = False
         backlog, self.backlog = self.backlog, []
         for timer, callback in sorted(backlog, key=lambda item: item[0]):
@@ -71,7 +79,7 @@
 
 
 class ProcessTimer(timer_helper.TimerService):
-    """Give a process a clock of its own rate and origin."""
+    """Provide a process with timers on a clock of its own rate and origin."""
 
     def __init__(self, gate: Gate, rate: float, origin_s: float) -> None:
         self.gate, self.rate, self.origin_s = gate, rate, origin_s
@@ -85,28 +93,30 @@
         subscription = _Subscription()
 
         def run() -> None:
-            self._at(self.monotonic() + interval_s, run, subscription)
+            self._schedule(self.monotonic() + interval_s, run, subscription)
             callback()
 
-        self._at(self.monotonic() + interval_s, run, subscription)
+        self._schedule(self.monotonic() + interval_s, run, subscription)
         return subscription
 
     def call_at(
         self, *, when_s: float, callback: Callable[[], None]
     ) -> timer_helper.Subscription:
         subscription = _Subscription()
-        self._at(when_s, callback, subscription)
+        self._schedule(when_s, callback, subscription)
         return subscription
 
     async def sleep(self, delay_s: float) -> None:
-        done = self.gate.loop.create_future()
+        future = self.gate.loop.create_future()
         self.call_at(
             when_s=self.monotonic() + delay_s,
-            callback=lambda: None if done.done() else done.set_result(None),
+            callback=lambda: (
+                None if future.done() else future.set_result(None)
+            ),
         )
-        await done
+        await future
 
-    def _at(
+    def _schedule(
         self,
         when_s: float,
         callback: Callable[[], None],
@@ -117,6 +127,6 @@
                 callback()
 
         self.gate.loop.call_at(
-            (when_s - self.origin_s) / self.rate + ROUNDING_S,
+            (when_s - self.origin_s) / self.rate + ROUNDING_MARGIN_S,
             lambda: self.gate.post(run, timer=True),
         )
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -1,4 +1,4 @@
-"""Check P1 to P8 on histories of whole runs, and check the checkers."""
+"""Test the guarantees P1 to P8 in simulated runs, and test their checks."""
 
 import asyncio
 import functools
@@ -22,27 +22,28 @@
 from tests.history import world as world_module
 from tests.history.world import World
 
-# Long enough for a server or a host that leaves.
+# Long enough for a server to be drained and for a host to stop.
 GUARD_RUN_S = 10.0
-DECODE = tokens.TokenIssuer.decode
+# Called by its replacement.
+ORIGINAL_DECODE = tokens.TokenIssuer.decode
 
 
-def broken(world: World) -> dict[str, list[str]]:
-    return record.broken(world.history, world_module.INTERVAL_S)
+def violations(world: World) -> dict[str, list[str]]:
+    return record.violations(world.history, world_module.SHIFT_INTERVAL_S)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_promises_hold_under_faults(seed: int) -> None:
-    """Guards against a broken promise under any two faults at a time."""
+def test_guarantees_hold_under_faults(seed: int) -> None:
+    """Guards against violated guarantees under one or two faults at a time."""
     world = world_module.run_seed(seed, faults.schedule, duration_s=38.0)
-    assert not broken(world), world.log
-    # A run in which little is served would prove little.
+    assert not violations(world), world.fault_log
+    # A run that serves little work would hardly test the guarantees.
     assert len(world.history.runs) > 100
     assert len({run.host for run in world.history.runs}) >= 3
 
 
 def test_seed_replays_to_the_same_history() -> None:
-    """Guards against failures that cannot be looked into again."""
+    """Guards against failures that their seed does not reproduce."""
     first, second, other = (
         world_module.run_seed(seed, faults.schedule, duration_s=12.0)
         for seed in (5, 5, 6)
@@ -51,57 +52,59 @@
     assert vars(first.history) != vars(other.history)
 
 
-async def calm(_: World) -> None:
-    """Inject no fault."""
+async def do_nothing(_: World) -> None:
+    """Inject no fault; as a replacement of _stop(), skip the stop."""
 
 
 async def burst(world: World) -> None:
-    """Let more callers come than the regions can serve."""
-    for work in world.rates:
-        world.rates[work] *= 4.0
+    """Send more requests than the regions can serve."""
+    for work in world.request_rates:
+        world.request_rates[work] *= 4.0
 
 
-async def trouble(world: World) -> None:
-    """Let servers refuse, reset and answer late under load."""
+async def failing_servers(world: World) -> None:
+    """Make servers refuse, reset and delay requests under load."""
     await burst(world)
     for server in world.servers.values():
-        server.trouble = 0.3
+        server.failure_rate = 0.3
 
 
-async def empty_region(world: World) -> None:
-    """Send the callers of one region to the others."""
+async def lose_servers_of_region(world: World) -> None:
+    """Shut down the servers of one region, so that its load shifts."""
     await burst(world)
     for server in world.servers.values():
         if server.region == "tallinn":
-            server.go_down()
+            server.shut_down()
 
 
-async def drains(world: World) -> None:
-    """Let servers leave that go on taking what they are sent."""
+async def drain_servers(world: World) -> None:
+    """Drain half of the servers, which still accept all requests."""
     for server in list(world.servers.values())[::2]:
         server.leaving = True
 
 
-async def stops(world: World) -> None:
-    """Stop hosts while requests are in flight."""
-    await trouble(world)
+async def stop_hosts(world: World) -> None:
+    """Stop half of the hosts while requests are in flight."""
+    await failing_servers(world)
     await asyncio.sleep(2.0)
     for process in list(world.hosts.values())[::2]:
         process.stop_requested.set()
 
 
-async def stale_store(world: World) -> None:
-    """Answer reads from the past after a change."""
+async def serve_stale_reads(world: World) -> None:
+    """Answer reads with old revisions after changes."""
     for _ in range(2):
-        await world.change()
+        await world.set_limits()
         await asyncio.sleep(1.0)
     await asyncio.sleep(record.IN_FORCE_S)
     world.core.faults.stale_by = 60
-    await world.span("fault", "", 60.0)
+    await world.record_span("fault", "", 60.0)
 
 
-def finish(self: Any, permit: Any, request: Any, **sent: Any) -> None:
-    """Take every request that is over here for one that has ended."""
+def finish_as_complete(
+    self: Any, permit: Any, request: Any, **sent: Any
+) -> None:
+    """Release the permit as if the server had finished every attempt."""
     self.admission.finish(
         permit,
         ended=admission_model.PermitEnd.COMPLETE,
@@ -110,8 +113,8 @@
     )
 
 
-async def run_anywhere(self: Any, request: Any, _: str) -> Any:
-    """Run the work of a token on any host at any time."""
+async def run_without_claim(self: Any, request: Any, _: str) -> Any:
+    """Run work on any host without a check whether its token was used."""
     work = self.catalogue.view.works[request.work]
     run = executor.Run()
     return await self._run_with_retries(
@@ -119,14 +122,14 @@
     )
 
 
-def decode_by_work(self: Any, token: str) -> Any:
-    """Take all tokens for one work entry for the same token."""
-    decoded = DECODE(self, token)
-    return decoded.map(lambda each: each._replace(token_id=each.work))
+def decode_without_id(self: Any, encoded: str) -> Any:
+    """Decode all tokens for a work entry as if they had the same ID."""
+    decoded = ORIGINAL_DECODE(self, encoded)
+    return decoded.map(lambda token: token._replace(token_id=token.work))
 
 
-def merge(self: Any, objects: Any, revision: int) -> bool:
-    """Take what comes last for the newest."""
+def merge_unconditionally(self: Any, objects: Any, revision: int) -> bool:
+    """Merge objects without comparing their revisions."""
     self.objects.update({item.key: item for item in objects})
     self.position = revision
     entries = [item.entry for item in self.objects.values() if item.entry]
@@ -136,39 +139,53 @@
 
 
 def ignore(*_: Any) -> None:
-    """Do nothing."""
+    """Ignore the call."""
 
 
-# Promise, owner and name of the guard, what replaces it, the run's faults.
-GUARDS: tuple[tuple[str, Any, str, Any, world_module.Inject], ...] = (
-    ("P1", ledger.KeyState, "release_delay_s", 0.0, empty_region),
-    # Each host uses the whole limit.
+# A guard is a function or value of the program that a guarantee depends on.
+# Each row removes one: ID of the guarantee, owner and name of the guard, its
+# replacement, and the faults under which the guarantee is then violated.
+GUARDS: tuple[tuple[str, Any, str, Any, world_module.Injector], ...] = (
+    ("P1", ledger.KeyState, "release_delay_s", 0.0, lose_servers_of_region),
+    # Every host uses the whole limit instead of its share.
     ("P2", ledger.SeatState, "allocated", lambda *args: args[2], burst),
-    ("P2", executor.Executor, "_finish", finish, trouble),
-    ("P3", tokens.TokenIssuer, "decode", decode_by_work, calm),
-    ("P4", FailureKind, "certainly_not_run", True, trouble),
-    ("P5", executor.Executor, "_run_once", run_anywhere, trouble),
-    ("P6", health.ServerHealth, "_mark_leaving", ignore, drains),
-    ("P7", entry_host.EntryHostProcess, "_stop", calm, stops),
-    ("P8", catalogue_state.CatalogueState, "_merge", merge, stale_store),
-    ("P8", sync.CatalogueSync, "_apply_watch", ignore, stale_store),
+    ("P2", executor.Executor, "_finish", finish_as_complete, failing_servers),
+    ("P3", tokens.TokenIssuer, "decode", decode_without_id, do_nothing),
+    ("P4", FailureKind, "certainly_not_run", True, failing_servers),
+    ("P5", executor.Executor, "_run_once", run_without_claim, failing_servers),
+    ("P6", health.ServerHealth, "_mark_leaving", ignore, drain_servers),
+    ("P7", entry_host.EntryHostProcess, "_stop", do_nothing, stop_hosts),
+    (
+        "P8",
+        catalogue_state.CatalogueState,
+        "_merge",
+        merge_unconditionally,
+        serve_stale_reads,
+    ),
+    ("P8", sync.CatalogueSync, "_apply_watch", ignore, serve_stale_reads),
 )
 
 
 @functools.cache
-def unbroken(injected: world_module.Inject) -> dict[str, list[str]]:
-    """Return what is reported of a run with all guards."""
-    return broken(world_module.run_seed(1, injected, duration_s=GUARD_RUN_S))
+def violations_with_all_guards(
+    injected: world_module.Injector,
+) -> dict[str, list[str]]:
+    """Return the violations in a run without a removed guard."""
+    return violations(
+        world_module.run_seed(1, injected, duration_s=GUARD_RUN_S)
+    )
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=lambda guard: guard[2])
 def test_checker_reports_a_missing_guard(guard: Any) -> None:
-    """Guards against a checker that cannot fail."""
-    promise, owner, name, replacement, injected = guard
-    assert promise not in unbroken(injected)
+    """Guards against checks that cannot fail."""
+    guarantee, owner, name, replacement, injected = guard
+    assert guarantee not in violations_with_all_guards(injected)
     with (
         mock.patch.object(owner, name, replacement),
+        # Lets different requests use one token ID, which the comparison of
+        # their digests would refuse.
         mock.patch.object(executor, "_digest", lambda _: b"same"),
     ):
         world = world_module.run_seed(1, injected, duration_s=GUARD_RUN_S)
-    assert promise in broken(world)
+    assert guarantee in violations(world)
--- a/tests/history/world.py
+++ b/tests/history/world.py
@@ -1,4 +1,4 @@
-"""Hold the network, the servers, the store and the callers of a run."""
+"""Simulate the network, the servers, the store and the callers of a run."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,21 +30,25 @@
 from tests.history import record
 
 REGIONS = ("tallinn", "tartu", "parnu")
-# One of three hosts in a zone does not watch the store.
+# Availability zones by entry host. One of the three hosts in tallinn-a does
+# not watch the store.
 HOSTS = dict.fromkeys(("t1", "t2", "t3"), "tallinn-a")
 HOSTS |= {"u1": "tartu-a", "p1": "parnu-a"}
-INTERVAL_S = 5.0
-CLASSES = {
+# Interval of the shift caps that builders.make_region() sets.
+SHIFT_INTERVAL_S = 5.0
+WORK_CLASSES = {
     "file-claim": core.WorkClass.FILING,
     "case-status": core.WorkClass.STATUS,
     "case-export": core.WorkClass.EXPORT,
 }
-# Requests each second from the callers of a region.
-RATES = {"file-claim": 1.5, "case-status": 1.5, "case-export": 1.0}
-START_S = 4.0
-TROUBLE = 0.02
-Resolve = Callable[[Any], None]
-Inject = Callable[["World"], Coroutine[Any, Any, None]]
+# Requests per second from the callers of each region.
+REQUESTS_PER_S = {"file-claim": 1.5, "case-status": 1.5, "case-export": 1.0}
+# Time for the entry hosts to start before the first request.
+STARTUP_S = 4.0
+# Probability that a server refuses, delays or resets a request, for each.
+FAILURE_RATE = 0.02
+ResultCallback = Callable[[Any], None]
+Injector = Callable[["World"], Coroutine[Any, Any, None]]
 
 
 def make_entries() -> list[schema.Entry]:
@@ -60,9 +64,11 @@
     service = builders.make_service("filing", zones=zones, slots=6)
     service["ramp_s"] = 1.0
     entries.append(service)
-    for name, kind in CLASSES.items():
-        repeatable = kind is not core.WorkClass.FILING
-        work = builders.make_work(name, work_class=kind, repeatable=repeatable)
+    for name, work_class in WORK_CLASSES.items():
+        repeatable = work_class is not core.WorkClass.FILING
+        work = builders.make_work(
+            name, work_class=work_class, repeatable=repeatable
+        )
         work["max_answer_bytes"] = 300
         work["deadline_s"] = 5.0
         work["max_in_flight_per_region"] = 8
@@ -70,8 +76,8 @@
     return entries
 
 
-class _Ordered(dict[Any, None]):
-    """Be a set that is iterated in the order of insertion."""
+class _OrderedSet(dict[Any, None]):
+    """Implement a set that is iterated in the order of insertion."""
 
     def add(self, item: object) -> None:
         self[item] = None
@@ -80,14 +86,15 @@
         self.pop(item, None)
 
 
-class StoreCore(store_standin.StoreCore):
-    """Record the operators' changes as the store accepts them."""
+class RecordingStoreCore(store_standin.StoreCore):
+    """Record the changes of catalogue entries that the store accepts."""
 
     def __init__(self, world: "World") -> None:
         super().__init__()
         self.world = world
-        # A set of futures has no order that a seed could replay.
-        self.waiters = _Ordered()  # type: ignore[assignment]
+        # A set of futures is iterated in an order that differs between runs
+        # of a seed.
+        self.waiters = _OrderedSet()  # type: ignore[assignment]
 
     def put(
         self, key: str, value: Mapping[str, Any], expected_revision: int
@@ -100,47 +107,52 @@
         return outcome
 
 
-class Server:
-    """Run work in slots, and fail on demand."""
+class FakeServer:
+    """Simulate a backend server that fails at a given rate."""
 
     def __init__(self, world: "World", server: core.BackendServer) -> None:
         self.world = world
         self.name = server.name
         self.region = server.zone.region
-        self.start = 1
+        self.incarnation = 1
         self.up = True
         self.leaving = False
-        # Whether a server that is leaving refuses new work itself.
+        # Whether the server refuses new work while it is leaving.
         self.refuses = False
-        self.trouble = TROUBLE
-        # Resets the connection of a run, by its place in the history.
-        self.active: dict[int, Callable[[], None]] = {}
+        self.failure_rate = FAILURE_RATE
+        # Resets the connection of a run in progress, by the index of the run
+        # in the history.
+        self.reset_callbacks: dict[int, Callable[[], None]] = {}
 
     def submit(
         self,
         process: hosts_module.HostProcess,
         request: backend_model.BackendRequest,
-        resolve: Resolve,
+        resolve: ResultCallback,
     ) -> Callable[[], None]:
-        """Send a request; return what the host calls to cancel it."""
+        """Send a request; return a callback that cancels it."""
         world, region = self.world, process.region
-        left_s = request.deadline_at_s - process.timer.monotonic()
+        remaining_s = request.deadline_at_s - process.timer.monotonic()
         sent_at_s = world.now()
         stops: list[Callable[[], None]] = []
 
         def cancel() -> None:
             for stop in stops:
-                world.between(region, self.region, stop)
+                world.send_between(region, self.region, stop)
 
         def arrive() -> None:
             stops.append(
-                self._run(process, request, resolve, sent_at_s, left_s)
+                self._run(process, request, resolve, sent_at_s, remaining_s)
             )
 
         if not process.gate.dead:
-            world.between(region, self.region, arrive)
-            if world.is_cut(region, self.region) and world.rng.random() < 0.5:
-                failure = hosts_module.failed(FailureKind.NOT_SENT)
+            world.send_between(region, self.region, arrive)
+            if (
+                world.is_partitioned(region, self.region)
+                and world.rng.random() < 0.5
+            ):
+                # In the other cases, the request times out at its deadline.
+                failure = hosts_module.make_failure(FailureKind.NOT_SENT)
                 process.gate.post(lambda: resolve(failure))
         return cancel
 
@@ -148,173 +160,204 @@
         self,
         process: hosts_module.HostProcess,
         request: backend_model.BackendRequest,
-        resolve: Resolve,
+        resolve: ResultCallback,
         sent_at_s: float,
-        left_s: float,
+        remaining_s: float,
     ) -> Callable[[], None]:
-        """Refuse a request or run it; return what stops the run."""
+        """Refuse or run a request; return a callback that stops the run."""
         world, rng, runs = self.world, self.world.rng, self.world.history.runs
 
         def fail(kind: FailureKind) -> None:
-            signs = kind is FailureKind.LEAVING
-            self._reply(process, resolve, hosts_module.failed(kind), signs)
+            reports_leaving = kind is FailureKind.LEAVING
+            self._reply(
+                process,
+                resolve,
+                hosts_module.make_failure(kind),
+                reports_leaving,
+            )
 
         kind = (
             (FailureKind.NOT_SENT if not self.up else None)
             or (FailureKind.LEAVING if self.refuses else None)
-            or (FailureKind.REFUSED if rng.random() < self.trouble else None)
+            or (
+                FailureKind.REFUSED
+                if rng.random() < self.failure_rate
+                else None
+            )
         )
         if kind is not None:
             fail(kind)
             return lambda: None
         headers = dict(request.headers)
         work_id, token = headers["X-Work-Id"], int(headers["X-Token"])
-        place = len(runs)
+        index = len(runs)
         runs.append(
             record.Run(
                 *(sent_at_s, world.now(), math.inf, work_id, token),
-                *(world.homes[work_id], self.region, self.name, self.start),
+                *(
+                    world.home_regions[work_id],
+                    self.region,
+                    self.name,
+                    self.incarnation,
+                ),
                 process.host.incarnation,
             )
         )
-        world.count_bytes(process.region, self.region, request.body)
+        world.record_link_bytes(process.region, self.region, request.body)
 
         def end() -> None:
-            del self.active[place]
-            runs[place] = runs[place]._replace(until_s=world.now())
+            del self.reset_callbacks[index]
+            runs[index] = runs[index]._replace(end_s=world.now())
 
         def reset() -> None:
-            if place in self.active:
+            if index in self.reset_callbacks:
                 end()
                 fail(FailureKind.RESET)
 
         def stop() -> None:
-            # Some servers go on with work that nobody waits for.
-            if place in self.active and rng.random() < 0.5:
+            # Half of the runs continue although the host has cancelled them.
+            if index in self.reset_callbacks and rng.random() < 0.5:
                 end()
 
         def finish() -> None:
-            if place not in self.active:
+            if index not in self.reset_callbacks:
                 return
             end()
-            if duration_s <= left_s:
+            if duration_s <= remaining_s:
                 body = record.answer_body(work_id).encode()
-                world.count_bytes(self.region, process.region, body)
+                world.record_link_bytes(self.region, process.region, body)
                 answer = core.Answer(200, "OK", (), body, self.name)
                 self._reply(process, resolve, Success(answer), False)
 
-        self.active[place] = reset
+        self.reset_callbacks[index] = reset
         duration_s = rng.uniform(0.05, 0.5)
-        if rng.random() < self.trouble:
-            duration_s = rng.uniform(left_s - 0.05, left_s + 0.2)
-        # A server gives up soon after the deadline it was given.
-        duration_s = min(duration_s, left_s + 0.2)
+        if rng.random() < self.failure_rate:
+            duration_s = rng.uniform(remaining_s - 0.05, remaining_s + 0.2)
+        # A server ends a run soon after the deadline of the request.
+        duration_s = min(duration_s, remaining_s + 0.2)
         world.loop.call_later(duration_s, finish)
-        if rng.random() < self.trouble:
+        if rng.random() < self.failure_rate:
             world.loop.call_later(rng.uniform(0.0, duration_s), reset)
         return stop
 
     def probe(
-        self, process: hosts_module.HostProcess, resolve: Resolve
+        self, process: hosts_module.HostProcess, resolve: ResultCallback
     ) -> None:
-        """Answer a probe; the load is made up."""
+        """Answer a health probe with a random load."""
 
         def arrive() -> None:
-            result: Any = hosts_module.failed(FailureKind.NOT_SENT)
+            result: Any = hosts_module.make_failure(FailureKind.NOT_SENT)
             if self.up:
-                load, start = self.world.rng.random(), f"start-{self.start}"
+                load, incarnation = (
+                    self.world.rng.random(),
+                    f"incarnation-{self.incarnation}",
+                )
                 result = Success(
                     backend_model.HealthReport(
-                        self.name, self.leaving, load, start
+                        self.name, self.leaving, load, incarnation
                     )
                 )
             self._reply(process, resolve, result, self.up and self.leaving)
 
         if not process.gate.dead:
-            self.world.between(process.region, self.region, arrive)
+            self.world.send_between(process.region, self.region, arrive)
 
     def _reply(
         self,
         process: hosts_module.HostProcess,
-        resolve: Resolve,
+        resolve: ResultCallback,
         result: Any,
-        signs: bool,
+        reports_leaving: bool,
     ) -> None:
-        start = self.start
+        incarnation = self.incarnation
 
         def deliver() -> None:
-            if signs:
-                self.sign(start)
+            if reports_leaving:
+                self.record_leaving(incarnation)
             resolve(result)
 
-        self.world.between(
+        self.world.send_between(
             self.region, process.region, lambda: process.gate.post(deliver)
         )
 
-    def sign(self, start: int) -> None:
-        """Note that a host has received a sign that the server leaves."""
-        signs = self.world.history.signs
-        signs.setdefault((self.name, start), self.world.now())
+    def record_leaving(self, incarnation: int) -> None:
+        """Record that a host has learned that the server is leaving."""
+        known_at_s = self.world.history.leaving_known_at_s
+        known_at_s.setdefault((self.name, incarnation), self.world.now())
 
-    def go_down(self) -> None:
-        """Die at once; the work in progress ends."""
+    def shut_down(self) -> None:
+        """Shut down at once and reset the connections of runs in progress."""
         self.up = False
-        for reset in list(self.active.values()):
+        for reset in list(self.reset_callbacks.values()):
             reset()
 
-    def come_up(self) -> None:
-        self.start += not self.up
+    def start_up(self) -> None:
+        """Start as a new incarnation if down; stop leaving in any case."""
+        self.incarnation += not self.up
         self.up = True
         self.leaving = self.refuses = False
 
 
 class World:
-    """Run one seed."""
+    """Hold the simulated system of one run."""
 
     def __init__(self, seed: int, loop: kernel.VirtualLoop) -> None:
         self.loop = loop
         self.rng = random.Random(seed)
-        # Apart, so that a change of the code leaves the schedule as it is.
+        # Separate from rng, whose use depends on the code, so that a change of
+        # the code leaves the order of faults of a seed as it is.
         self.schedule_rng = random.Random(seed + 1)
         self.history = record.History()
-        self.states: dict[str, record.State] = {}
-        self.core = StoreCore(self)
+        # By incarnation of the host.
+        self.latest_states: dict[str, record.HostState] = {}
+        self.core = RecordingStoreCore(self)
+        # Whether half of the writes to the store take effect late.
         self.late_writes = False
-        self.loss = 0.0
-        self.cuts: set[frozenset[str]] = set()
-        self.last_at_s: dict[tuple[str, str], float] = {}
+        self.loss_rate = 0.0
+        # Pairs of regions that are disconnected from each other.
+        self.partitions: set[frozenset[str]] = set()
+        # Latest arrival of a message by sender and receiver.
+        self.last_arrival_at_s: dict[tuple[str, str], float] = {}
+        # Latest process of each entry host, by name of the host.
         self.hosts: dict[str, hosts_module.HostProcess] = {}
-        self.starts = 0
-        # Region of the caller by work id.
-        self.homes: dict[str, str] = {}
-        self.pieces = 0
-        self.rates = dict(RATES)
-        self.kept: dict[tuple[str, str], tuple[float, list[str]]] = {}
-        self.log: list[str] = []
+        self.start_count = 0
+        # Region of the caller by work ID.
+        self.home_regions: dict[str, str] = {}
+        # Number of pieces of work that callers have requested.
+        self.work_count = 0
+        self.request_rates = dict(REQUESTS_PER_S)
+        # End of validity and entry hosts of look-up answers, by work and
+        # region of the caller.
+        self.cached_lookups: dict[
+            tuple[str, str], tuple[float, list[str]]
+        ] = {}
+        self.fault_log: list[str] = []
         entries = make_entries()
         for entry in entries:
             body = codec.encode_body(change_id="first", entry=entry)
             self.core.put(codec.PREFIX + schema.entry_key(entry), body, 0)
         servers = catalogue_view.CatalogueView(entries=entries).servers
-        self.servers = {name: Server(self, servers[name]) for name in servers}
+        self.servers = {
+            name: FakeServer(self, servers[name]) for name in servers
+        }
         self.timer = kernel.ProcessTimer(kernel.Gate(loop), 1.0, 0.0)
 
     def now(self) -> float:
         return self.loop.time()
 
-    def is_cut(self, region: str, other: str) -> bool:
-        return frozenset((region, other)) in self.cuts
+    def is_partitioned(self, region: str, other: str) -> bool:
+        return frozenset((region, other)) in self.partitions
 
-    def _delay_s(self, region: str, other: str) -> float:
+    def _latency_s(self, region: str, other: str) -> float:
         base_s = 0.002 if region == other else 0.02
         return base_s * self.rng.uniform(1.0, 2.0)
 
-    def between(
+    def send_between(
         self, region: str, other: str, deliver: Callable[[], None]
     ) -> None:
-        """Deliver after the latency between regions, unless they are cut."""
-        if not self.is_cut(region, other):
-            self.loop.call_later(self._delay_s(region, other), deliver)
+        """Call back after the latency between regions unless partitioned."""
+        if not self.is_partitioned(region, other):
+            self.loop.call_later(self._latency_s(region, other), deliver)
 
     def transmit(
         self,
@@ -322,74 +365,84 @@
         name: str,
         deliver: Callable[[hosts_module.HostProcess], None],
     ) -> None:
-        """Deliver a message to a peer in the order of sending."""
+        """Deliver a message to a peer, in the order of sending, or lose it."""
         peer = self.hosts.get(name)
-        if peer is None or source.gate.dead or self.rng.random() < self.loss:
+        if (
+            peer is None
+            or source.gate.dead
+            or self.rng.random() < self.loss_rate
+        ):
             return
-        if self.is_cut(source.region, peer.region):
+        if self.is_partitioned(source.region, peer.region):
             return
         pair = (source.host.name, name)
-        at_s = self.now() + self._delay_s(source.region, peer.region)
-        at_s = max(at_s, self.last_at_s.get(pair, 0.0))
-        self.last_at_s[pair] = at_s
+        at_s = self.now() + self._latency_s(source.region, peer.region)
+        at_s = max(at_s, self.last_arrival_at_s.get(pair, 0.0))
+        self.last_arrival_at_s[pair] = at_s
         self.loop.call_at(at_s, lambda: peer.gate.post(lambda: deliver(peer)))
 
-    def count_bytes(self, source: str, target: str, body: bytes) -> None:
+    def record_link_bytes(self, source: str, target: str, body: bytes) -> None:
+        """Record the bytes on a link, where they count for a second."""
         if source != target:
             now, key = self.now(), f"link:{source}>{target}"
-            use = record.Use(now, now + 1.0, key, len(body))
-            self.history.link_bytes.append(use)
+            usage = record.Usage(now, now + 1.0, key, len(body))
+            self.history.link_bytes.append(usage)
 
-    def saw_store(self, result: object) -> None:
-        """Record signs in the host list that a process has read."""
+    def record_host_list(self, result: object) -> None:
+        """Record the leaving servers in a host list that a host has read."""
         if not isinstance(result, store_model.Listing):
             return
         for stored in result.objects:
             for listed in stored.value.get("hosts", ()):
                 server = self.servers[listed["name"]]
                 if server.leaving and listed["state"] == "leaving":
-                    server.sign(server.start)
+                    server.record_leaving(server.incarnation)
 
     def start_host(self, name: str) -> None:
-        """Start an incarnation once the former one has ended."""
-        former = self.hosts.get(name)
-        if former is None or former.gate.dead:
-            self.starts += 1
+        """Start a new incarnation of a host unless the previous one runs."""
+        previous = self.hosts.get(name)
+        if previous is None or previous.gate.dead:
+            self.start_count += 1
             process = hosts_module.HostProcess(
-                self, name, HOSTS[name], self.starts
+                self, name, HOSTS[name], self.start_count
             )
             self.hosts[name] = process
-            hosts_module.spawn(process.begin())
-            hosts_module.spawn(self._note_serving(process))
+            hosts_module.spawn(process.run_until_stopped())
+            hosts_module.spawn(self._record_serving(process))
 
-    async def _note_serving(self, process: hosts_module.HostProcess) -> None:
+    async def _record_serving(self, process: hosts_module.HostProcess) -> None:
+        """Record when an incarnation begins to serve."""
         while process.state is core.EntryHostState.STARTING:
             await process.timer.sleep(0.1)
-        name = process.host.incarnation
+        host = process.host.incarnation
         self.history.spans.append(
-            record.Span(self.now(), math.inf, "serving", name)
+            record.Span(self.now(), math.inf, "serving", host)
         )
 
-    def ended(
+    def end_process(
         self, process: hosts_module.HostProcess, *, planned: bool
     ) -> None:
-        """Let a process end and close its connections."""
+        """Mark a process as dead and close its connections."""
         process.gate.dead = True
-        now, name = self.now(), process.host.incarnation
-        if name in self.states:
+        now, host = self.now(), process.host.incarnation
+        if host in self.latest_states:
             self.history.states.append(
-                self.states[name]._replace(at_s=now, limits={})
+                self.latest_states[host]._replace(at_s=now, limits={})
             )
-        for place, span in enumerate(self.history.spans):
-            if span[1:] == (math.inf, "serving", name):
-                self.history.spans[place] = span._replace(until_s=now)
-        for connection in list(process.calls):
+        for index, span in enumerate(self.history.spans):
+            if span[1:] == (math.inf, "serving", host):
+                self.history.spans[index] = span._replace(end_s=now)
+        for connection in list(process.exchanges):
             if planned:
-                self.history.cut_off.append(f"{connection.work_id} on {name}")
+                self.history.interrupted.append(
+                    f"{connection.work_id} on {host}"
+                )
             connection.reply(None)
 
-    async def span(self, kind: str, host: str, duration_s: float) -> None:
-        """Record a span and return at its end."""
+    async def record_span(
+        self, kind: str, host: str, duration_s: float
+    ) -> None:
+        """Record a span that begins now and return at its end."""
         now = self.now()
         span = record.Span(now, now + duration_s, kind, host)
         self.history.spans.append(span)
@@ -399,36 +452,40 @@
         self,
         name: str,
         region: str,
-        line: tuple[str, str],
+        request_line: tuple[str, str],
         headers: Mapping[str, str],
         *,
         work_id: str = "",
-        patience_s: float = 0.5,
+        timeout_s: float = 0.5,
     ) -> record.Reply:
-        """Make one request from a region; give up after the patience."""
+        """Send one request from a region; disconnect after timeout_s."""
         process = self.hosts[name]
         token = int(headers.get("X-Token", 0))
         connection = hosts_module.Connection(process, work_id, token)
-        kind = CLASSES.get(work_id.partition("/")[0], core.WorkClass.FILING)
+        work_class = WORK_CLASSES.get(
+            work_id.partition("/")[0], core.WorkClass.FILING
+        )
 
         def arrive() -> None:
             if process.gate.dead:
                 connection.reply(None)
-            start = httputil.RequestStartLine(*line, "HTTP/1.1")
+            start = httputil.RequestStartLine(*request_line, "HTTP/1.1")
             process.gate.post(
-                lambda: process.open(connection, start, headers, kind.rank)
+                lambda: process.receive_request(
+                    connection, start, headers, work_class.rank
+                )
             )
 
-        def leave() -> None:
-            handler = process.calls.pop(connection, None)
+        def disconnect() -> None:
+            handler = process.exchanges.pop(connection, None)
             if handler is not None:
                 handler.on_connection_close()
 
-        self.between(region, process.region, arrive)
-        waiting = connection.waiter.done
-        if not (await asyncio.wait((waiting,), timeout=patience_s))[0]:
-            self.between(
-                region, process.region, lambda: process.gate.post(leave)
+        self.send_between(region, process.region, arrive)
+        waiting = connection.waiter.future
+        if not (await asyncio.wait((waiting,), timeout=timeout_s))[0]:
+            self.send_between(
+                region, process.region, lambda: process.gate.post(disconnect)
             )
             connection.reply(None)
         reply: record.Reply = await waiting
@@ -437,10 +494,15 @@
     async def look_up(
         self, work: str, region: str
     ) -> tuple[list[str], str | None]:
-        """Return entry hosts and a run token, from any host that answers."""
-        until_s, found = self.kept.get((work, region), (0.0, []))
-        if until_s > self.now():
-            return found, None
+        """Return entry hosts and a run token from a cached or new answer.
+
+        The token is None for repeatable work and if no entry host answers.
+        """
+        valid_until_s, names = self.cached_lookups.get(
+            (work, region), (0.0, [])
+        )
+        if valid_until_s > self.now():
+            return names, None
         order = self.rng.sample(list(self.hosts), len(self.hosts))
         order.sort(key=lambda name: self.hosts[name].region != region)
         for name in order:
@@ -448,30 +510,35 @@
             reply = await self.call(name, region, ("GET", path), {})
             if reply.code == 0:
                 answer = json.loads(reply.body)
-                found = [host["name"] for host in answer["entry_hosts"]]
+                names = [host["name"] for host in answer["entry_hosts"]]
                 if "run_token" not in answer:
-                    until_s = self.now() + answer["keep_s"]
-                    self.kept[(work, region)] = (until_s, found)
-                return found, answer.get("run_token")
+                    valid_until_s = self.now() + answer["keep_s"]
+                    self.cached_lookups[(work, region)] = (
+                        valid_until_s,
+                        names,
+                    )
+                return names, answer.get("run_token")
         return [], None
 
-    async def caller(self, work: str, region: str) -> None:
-        """Have one piece of work done, with repeats."""
-        self.pieces += 1
-        piece, rng, used = f"{work}/{self.pieces}", self.rng, 1
+    async def run_caller(self, work: str, region: str) -> None:
+        """Request one piece of work, with up to three repeats."""
+        self.work_count += 1
+        piece, rng, token_number = f"{work}/{self.work_count}", self.rng, 1
         names, token = await self.look_up(work, region)
-        for number in range(4):
+        for attempt in range(4):
             if not names:
                 return
-            # Work without a token counts as a new piece each time.
-            work_id = piece if token else f"{piece}/{number}"
-            self.homes[work_id] = region
-            tries = [rng.choice(names) if number else names[0]]
+            # Work without a run token may run several times, so each attempt
+            # counts as another piece of work.
+            work_id = piece if token else f"{piece}/{attempt}"
+            self.home_regions[work_id] = region
+            targets = [rng.choice(names) if attempt else names[0]]
             if token and rng.random() < 0.15:
-                tries.append(rng.choice(names))
+                # Sends the request to two hosts at the same time.
+                targets.append(rng.choice(names))
             headers = {
                 "X-Work-Id": work_id,
-                "X-Token": str(used if token else 0),
+                "X-Token": str(token_number if token else 0),
                 "Content-Length": str(len(work_id)),
                 const.HEADER_HOME_REGION: region,
                 const.HEADER_REQUEST_ID: f"r{rng.getrandbits(32)}",
@@ -488,28 +555,29 @@
                         ("POST", f"/v1/run/{work}/x"),
                         headers,
                         work_id=work_id,
-                        patience_s=rng.choice((0.3, 8.0, 8.0, 8.0, 8.0)),
+                        timeout_s=rng.choice((0.3, 8.0, 8.0, 8.0, 8.0)),
                     )
-                    for name in tries
+                    for name in targets
                 )
             )
             codes = [reply.code for reply in replies]
+            # One in ten callers with a run token repeats work that is done.
             if 0 in codes and (not token or rng.random() < 0.9):
                 return
-            if 0 not in codes and set(codes) & set(record.NEVER_RUN):
-                # The work was not run and the token is used up.
+            if 0 not in codes and set(codes) & set(record.NEVER_RUN_CODES):
+                # The work was not run, and its token is of no more use.
                 names, token = await self.look_up(work, region)
-                used += 1
+                token_number += 1
             await asyncio.sleep(rng.uniform(0.02, 2.0))
 
-    async def arrivals(self, work: str, region: str) -> None:
-        """Start callers at the rate in force."""
+    async def start_callers(self, work: str, region: str) -> None:
+        """Start callers at random times at the current rate."""
         while True:
-            await asyncio.sleep(self.rng.expovariate(self.rates[work]))
-            hosts_module.spawn(self.caller(work, region))
+            await asyncio.sleep(self.rng.expovariate(self.request_rates[work]))
+            hosts_module.spawn(self.run_caller(work, region))
 
-    async def change(self) -> None:
-        """Raise or lower limits as an operator's command does."""
+    async def set_limits(self) -> None:
+        """Change limits of a random entry, as an operator's command does."""
         rng = self.rng
         entry = rng.choice(make_entries())
         if entry["kind"] == "region":
@@ -531,29 +599,29 @@
 
 
 async def _run(
-    seed: int, loop: kernel.VirtualLoop, inject: Inject, duration_s: float
+    seed: int, loop: kernel.VirtualLoop, inject: Injector, duration_s: float
 ) -> World:
     world = World(seed, loop)
     for name in HOSTS:
         world.start_host(name)
-    await asyncio.sleep(START_S)
+    await asyncio.sleep(STARTUP_S)
     for region in REGIONS:
-        for work in RATES:
-            hosts_module.spawn(world.arrivals(work, region))
+        for work in REQUESTS_PER_S:
+            hosts_module.spawn(world.start_callers(work, region))
     hosts_module.spawn(inject(world))
     await asyncio.sleep(duration_s)
     return world
 
 
-def run_seed(seed: int, inject: Inject, *, duration_s: float) -> World:
-    """Run a seed on a loop of its own; equal seeds give equal histories."""
-    ids = random.Random(seed)
+def run_seed(seed: int, inject: Injector, *, duration_s: float) -> World:
+    """Run a seed on its own event loop; equal seeds give equal histories."""
+    token_rng = random.Random(seed)
     loop = kernel.VirtualLoop()
     try:
         with mock.patch.object(
             secrets,
             "token_urlsafe",
-            lambda size: f"{ids.getrandbits(8 * size)}",
+            lambda size: f"{token_rng.getrandbits(8 * size)}",
         ):
             return loop.run_until_complete(
                 _run(seed, loop, inject, duration_s)
