--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -79,8 +79,8 @@
 SUMMARY_ENTRY_HOSTS = 2
 # Upper bound on the relative difference in speed of two hosts' clocks.
 MAX_CLOCK_DRIFT = 0.01
-# Rate limits on relayed traffic during a flood of sightings. A watcher has
-# about 50 peers, so ordinary ticks stay below them.
+# Rate limits on relayed traffic, for bursts of sightings. A watcher has about
+# 50 peers, so ordinary ticks stay below them.
 RELAY_MAX_MESSAGES_PER_S = 240
 RELAY_MAX_BYTES_PER_S = 256 * 1024
 # Equal sightings from several hosts within this time are forwarded once.
--- a/src/samphirelug/components/peers/hosts.py
+++ b/src/samphirelug/components/peers/hosts.py
@@ -41,7 +41,7 @@
     hosts: list[ListedHost]
 
 
-class ServerState(NamedTuple):
+class ListedServer(NamedTuple):
     """Report a backend server's state in the host list."""
 
     server: str
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.zones: dict[str, list[ListedHost]] = {}
         self.revisions: dict[str, int] = {}
-        self.servers: dict[str, ServerState] = {}
+        self.servers: dict[str, ListedServer] = {}
         # Maps object keys to the reason why the latest value was rejected.
         self.rejected: dict[str, str] = {}
 
@@ -117,11 +117,11 @@
     def _set_server(self, listed: ListedHost, revision: int) -> None:
         leaving = listed["state"] == "leaving"
         previous = self.servers.get(listed["name"])
-        changed = revision
+        changed_revision = revision
         if previous is not None and previous.leaving is leaving:
-            changed = previous.changed_revision
-        self.servers[listed["name"]] = ServerState(
-            listed["name"], leaving, revision, changed
+            changed_revision = previous.changed_revision
+        self.servers[listed["name"]] = ListedServer(
+            listed["name"], leaving, revision, changed_revision
         )
 
 
@@ -144,7 +144,7 @@
         is_watcher: Callable[[], bool],
         region_of: Callable[[str], str | None],
         on_entry_hosts: Callable[[tuple[core.EntryHost, ...]], None],
-        on_servers: Callable[[tuple[ServerState, ...]], None],
+        on_servers: Callable[[tuple[ListedServer, ...]], None],
     ) -> None:
         self.store = store
         self.timer = timer
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -112,7 +112,7 @@
         self._subscription: timer_helper.Subscription | None = None
         self._relay_subscription: timer_helper.Subscription | None = None
         self._server: server.Server | None = None
-        self._last_heartbeat_s = float("-inf")
+        self._last_heartbeat_at_s = float("-inf")
         # Heartbeat whose amounts were last sent to the peers.
         self._amounts_heartbeat: model.Heartbeat | None = None
         self._amounts_at_s = float("-inf")
@@ -282,14 +282,14 @@
         requested sooner is sent when this time is over.
         """
         now = self.timer.monotonic()
-        due_s = self._last_heartbeat_s + const.HEARTBEAT_MIN_INTERVAL_S
-        if now < due_s:
+        due_at_s = self._last_heartbeat_at_s + const.HEARTBEAT_MIN_INTERVAL_S
+        if now < due_at_s:
             if self._early_heartbeat is None and not self._stopped:
                 self._early_heartbeat = self.timer.call_at(
-                    when_s=due_s, callback=self._send_early
+                    when_s=due_at_s, callback=self._send_early
                 )
             return
-        self._last_heartbeat_s = now
+        self._last_heartbeat_at_s = now
         heartbeat = self._throttle_amounts(self.heartbeat(), now)
         for connection in self.connections.values():
             connection.put_heartbeat(heartbeat)
@@ -299,8 +299,8 @@
     ) -> model.Heartbeat:
         """Return the heartbeat, with the last amounts until others are due."""
         last = self._amounts_heartbeat
-        due_s = self._amounts_at_s + const.AMOUNTS_INTERVAL_S
-        if last is None or now >= due_s or self._is_full_mesh():
+        due_at_s = self._amounts_at_s + const.AMOUNTS_INTERVAL_S
+        if last is None or now >= due_at_s or self._is_full_mesh():
             self._amounts_heartbeat, self._amounts_at_s = heartbeat, now
             return heartbeat
         return heartbeat._replace(
@@ -345,8 +345,8 @@
             others=others,
         )
         for outgoing in self.relay.tick(
-            own=self.heartbeat(),
-            zone=(
+            own_heartbeat=self.heartbeat(),
+            zone_heartbeats=(
                 heartbeat
                 for member in self.membership.live(now=now)
                 if member.host.zone.name == own_zone
--- a/src/samphirelug/components/peers/model.py
+++ b/src/samphirelug/components/peers/model.py
@@ -117,7 +117,7 @@
 
 
 class UnitRequest(NamedTuple):
-    """Request units that are not bundled, such as bytes of a link."""
+    """Request plain units of single keys, such as bytes of a link."""
 
     units: tuple[quota_model.UnitAmount, ...]
 
@@ -131,7 +131,7 @@
 
 
 class UnitGrant(NamedTuple):
-    """Lend units that are not bundled; empty if none are available."""
+    """Lend plain units of single keys; empty if none are available."""
 
     loan_id: str
     units: tuple[quota_model.UnitAmount, ...]
--- a/src/samphirelug/components/peers/relay.py
+++ b/src/samphirelug/components/peers/relay.py
@@ -213,21 +213,21 @@
     def tick(
         self,
         *,
-        own: model.Heartbeat,
-        zone: Iterable[model.Heartbeat],
+        own_heartbeat: model.Heartbeat,
+        zone_heartbeats: Iterable[model.Heartbeat],
         build_summary: bool,
         now: float,
     ) -> tuple[OutgoingMessage, ...]:
         """Return the messages to send in this tick, within the rate limits.
 
-        The argument zone has the heartbeats of the other live hosts in this
-        host's zone. The zone's primary watcher sets build_summary.
+        The zone_heartbeats are those of the other live hosts in this host's
+        zone. The zone's primary watcher sets build_summary.
         """
         self.highest_revision = max(
-            self.highest_revision, own.catalogue_revision
+            self.highest_revision, own_heartbeat.catalogue_revision
         )
         if self.watcher and build_summary:
-            self._report_zone([own, *zone], now)
+            self._report_zone([own_heartbeat, *zone_heartbeats], now)
         self._expire(now)
         self._refill_budgets(now)
         names = list(self.outboxes)
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -492,7 +492,7 @@
         return self.admission.grant_units(message, borrower=sender)
 
     def _on_listed_servers(
-        self, states: tuple[hosts.ServerState, ...]
+        self, states: tuple[hosts.ListedServer, ...]
     ) -> None:
         for state in states:
             names = (state.server,)
--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -164,8 +164,8 @@
                     if member is not simulated
                 )
             for outgoing in simulated.relay.tick(
-                own=simulated.heartbeat(self.now),
-                zone=zone,
+                own_heartbeat=simulated.heartbeat(self.now),
+                zone_heartbeats=zone,
                 build_summary=simulated.primary_watcher,
                 now=self.now,
             ):
@@ -187,7 +187,10 @@
                     member.heartbeat(self.now) for member in self.zones[name]
                 ]
                 simulated.relay.tick(
-                    own=zone[0], zone=zone[1:], build_summary=True, now=0.0
+                    own_heartbeat=zone[0],
+                    zone_heartbeats=zone[1:],
+                    build_summary=True,
+                    now=0.0,
                 )
                 summaries[name] = simulated.relay.zones[name]
         for simulated in self.hosts.values():
--- a/tests/components/peers/test_auth.py
+++ b/tests/components/peers/test_auth.py
@@ -46,7 +46,7 @@
 
 
 def test_a_token_is_accepted_once() -> None:
-    """Guards against replay of a join token on the same connection."""
+    """Guard against replay of a join token on the same connection."""
     pair = Pair()
     token = pair.sign()
     assert pair.accepts(token)
@@ -54,7 +54,7 @@
 
 
 def test_a_token_is_refused_for_another_challenge() -> None:
-    """Guards against replay of a join token on a later connection."""
+    """Guard against replay of a join token on a later connection."""
     pair = Pair()
     token = pair.sign()
     pair.challenge = pair.new_challenge(2)
@@ -62,7 +62,7 @@
 
 
 def test_a_challenge_expires() -> None:
-    """Guards against join tokens used after their challenge expired."""
+    """Guard against join tokens used after their challenge expired."""
     pair = Pair()
     token = pair.sign()
     pair.timer.advance(const.JOIN_TIMEOUT_S)
@@ -74,7 +74,7 @@
 
 
 def test_tokens_for_another_context_are_refused() -> None:
-    """Guards against tokens of another audience, role, secret or host."""
+    """Guard against tokens of another audience, role, secret or host."""
     assert not Pair().accepts(Pair().sign(audience="eh3"))
     # A client's token must not be valid for the reverse direction.
     assert not Pair().accepts(Pair().sign(role="server"))
@@ -89,7 +89,7 @@
 
 
 def test_nonces_are_distinct_and_of_full_length() -> None:
-    """Guards against repeated or short nonces, which a peer could predict."""
+    """Guard against repeated or short nonces, which a peer could predict."""
     service = timer.ManualTimerService()
     nonces = {auth.IssuedChallenge(timer=service).nonce for _ in range(100)}
     assert len(nonces) == 100
--- a/tests/components/peers/test_codec.py
+++ b/tests/components/peers/test_codec.py
@@ -78,7 +78,7 @@
 
 
 def test_every_message_is_decoded_as_it_was_encoded() -> None:
-    """Guards against types and fields that get lost in encoding."""
+    """Guard against types and fields that get lost in encoding."""
     assert {type(m).__name__ for m in MESSAGES} == set(codec.MESSAGE_TYPES)
     for message in MESSAGES:
         data = codec.encode(message, message_id=4, reply_to=2)
@@ -86,7 +86,7 @@
 
 
 def test_unknown_fields_and_types_are_tolerated() -> None:
-    """Guards against closing connections to hosts with another version."""
+    """Guard against closing connections to hosts with another version."""
     frame = {"type": "GrantReturn", "loan_id": "l", "bundle_number": 1}
     known = codec.decode(cbor2.dumps({**frame, "colour": [1]})).unwrap()
     assert known == model.Frame(model.GrantReturn("l", 1))
@@ -117,14 +117,14 @@
     ],
 )
 def test_invalid_frames_are_refused(frame: Any) -> None:
-    """Guards against accepting messages that do not match the schema."""
+    """Guard against accepting messages that do not match the schema."""
     code = result_codes.ResultCode.PEER_MESSAGE_INVALID
     result = codec.SparseDecoder().decode(cbor2.dumps(frame))
     assert result.failure().code is code
 
 
 def test_not_a_number_is_refused() -> None:
-    """Guards against NaN wait times, with which comparisons are false."""
+    """Guard against NaN wait times, with which comparisons are false."""
     for wait in (float("nan"), -1.0):
         data = codec.encode(HEARTBEAT._replace(wait_s=(wait, 0.0, 0.0)))
         assert not is_successful(codec.decode(data))
@@ -133,7 +133,7 @@
 
 
 def test_size_and_depth_are_bounded() -> None:
-    """Guards against peers causing high memory use or deep recursion."""
+    """Guard against peers causing high memory use or deep recursion."""
     limit = const.MAX_PEER_MESSAGE_BYTES
     with pytest.raises(ValueError, match="at most"):
         codec.encode(model.OutcomeQuery("x" * limit))
@@ -152,7 +152,7 @@
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_are_refused_without_an_exception(data: bytes) -> None:
-    """Guards against exceptions that would end the reading task."""
+    """Guard against exceptions that would end the reading task."""
     assert not is_successful(codec.SparseDecoder().decode(data))
 
 
@@ -177,7 +177,7 @@
 def test_sparse_heartbeats_are_decoded_to_full_ones(
     heartbeats: list[model.Heartbeat],
 ) -> None:
-    """Guards against stale values from an earlier heartbeat."""
+    """Guard against stale values from an earlier heartbeat."""
     encoder, decoder = codec.SparseEncoder(), codec.SparseDecoder()
     for clock_ms, heartbeat in enumerate(heartbeats):
         sent = heartbeat._replace(clock_ms=clock_ms)
@@ -186,7 +186,7 @@
 
 
 def test_amounts_for_a_missing_headroom_item_are_refused() -> None:
-    """Guards against an IndexError that would end the reading task."""
+    """Guard against an IndexError that would end the reading task."""
     decoder = codec.SparseDecoder()
     decoder.decode(codec.encode(HEARTBEAT))
     frame = {"type": "Beat", "clock_ms": 2, "amounts": [[2, 1, 1]]}
--- a/tests/components/peers/test_hosts.py
+++ b/tests/components/peers/test_hosts.py
@@ -89,7 +89,7 @@
         self.store = Store()
         self.watcher = watcher
         self.entry_hosts: tuple[core.EntryHost, ...] = ()
-        self.servers: dict[str, hosts.ServerState] = {}
+        self.servers: dict[str, hosts.ListedServer] = {}
         self.list = hosts.HostList(
             store=self.store,
             timer=timer.ManualTimerService(),
@@ -104,7 +104,7 @@
     def _set_entry_hosts(self, reported: tuple[core.EntryHost, ...]) -> None:
         self.entry_hosts = reported
 
-    def _set_servers(self, reported: tuple[hosts.ServerState, ...]) -> None:
+    def _set_servers(self, reported: tuple[hosts.ListedServer, ...]) -> None:
         self.servers = {state.server: state for state in reported}
 
     def step(self) -> float:
@@ -113,7 +113,7 @@
 
 
 def test_a_watcher_lists_once_and_then_watches() -> None:
-    """Guards against missing changes between the list and the watch."""
+    """Guard against missing changes between the list and the watch."""
     follower = Follower(watcher=True)
     follower.store.write("tartu-a", ("eh1", "entry-host", "live"))
     assert follower.step() == 0.0
@@ -134,11 +134,11 @@
         ("eh1", "tartu"),
         ("eh2", "x-a"),
     ]
-    assert follower.servers == {"s1": hosts.ServerState("s1", True, 2, 2)}
+    assert follower.servers == {"s1": hosts.ListedServer("s1", True, 2, 2)}
 
 
 def test_other_hosts_poll_slowly_and_only_their_zone_at_scale() -> None:
-    """Guards against too many and too large store reads at 6,700 hosts."""
+    """Guard against too many and too large store reads at 6,700 hosts."""
     follower = Follower(watcher=False)
     follower.store.write("tartu-a", ("eh1", "entry-host", "live"))
     waits = [follower.step() for _ in range(20)]
@@ -157,7 +157,7 @@
 
 
 def test_outages_and_invalid_objects_keep_the_last_list() -> None:
-    """Guards against dropping all hosts after a fault of the platform."""
+    """Guard against dropping all hosts after a fault of the platform."""
     follower = Follower(watcher=True)
     follower.store.write("tartu-a", ("eh2", "entry-host", "live"))
     follower.step()
@@ -173,7 +173,7 @@
 
 
 def test_an_older_object_changes_nothing() -> None:
-    """Guards against stale reads that mark a leaving server live again."""
+    """Guard against stale reads that mark a leaving server live again."""
     state = hosts.HostListState()
 
     def apply_state(name: str, revision: int, value: str) -> bool:
@@ -185,6 +185,6 @@
     assert apply_state("s1", 5, "leaving")
     assert not apply_state("s1", 4, "live")
     assert apply_state("s1", 6, "leaving")
-    assert state.servers["s1"] == hosts.ServerState("s1", True, 6, 5)
+    assert state.servers["s1"] == hosts.ListedServer("s1", True, 6, 5)
     assert apply_state("s1", 7, "live")
-    assert state.servers["s1"] == hosts.ServerState("s1", False, 7, 7)
+    assert state.servers["s1"] == hosts.ListedServer("s1", False, 7, 7)
--- a/tests/components/peers/test_io_mesh.py
+++ b/tests/components/peers/test_io_mesh.py
@@ -130,7 +130,7 @@
 
 
 def test_one_seed_gives_a_full_mesh_with_one_connection_per_pair() -> None:
-    """Guards against hosts that do not connect or connect twice."""
+    """Guard against hosts that do not connect or connect twice."""
 
     async def test(cluster: Cluster) -> None:
         first = await cluster.add("eh1")
@@ -152,7 +152,7 @@
 
 
 def test_one_connection_is_kept_if_both_hosts_dial() -> None:
-    """Guards against each host closing the connection the other keeps."""
+    """Guard against each host closing the connection the other keeps."""
 
     async def test(cluster: Cluster) -> None:
         one, two = [await cluster.add(name) for name in ("eh1", "eh2")]
@@ -177,7 +177,7 @@
 
 
 def test_request_reply_and_timeout() -> None:
-    """Guards against mismatched replies and missing time-outs."""
+    """Guard against mismatched replies and missing time-outs."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -231,7 +231,7 @@
 
 
 def test_invalid_and_replayed_tokens_are_refused_with_the_code() -> None:
-    """Guards against joins with an invalid, replayed or foreign token."""
+    """Guard against joins with an invalid, replayed or foreign token."""
 
     async def test(cluster: Cluster) -> None:
         peer = await cluster.add("eh1")
@@ -275,7 +275,7 @@
 
 
 def test_invalid_message_closes_the_connection_and_peers_reconnect() -> None:
-    """Guards against accepting messages that do not match the schema."""
+    """Guard against accepting messages that do not match the schema."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -298,7 +298,7 @@
 
 
 def test_restart_under_the_same_name_replaces_the_old_incarnation() -> None:
-    """Guards against accepting a superseded process of the same host."""
+    """Guard against accepting a superseded process of the same host."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -317,7 +317,7 @@
 
 
 def test_a_stalled_peer_does_not_block_or_grow_the_sender() -> None:
-    """Guards against unbounded memory use for a peer that does not read."""
+    """Guard against unbounded memory use for a peer that does not read."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -340,7 +340,7 @@
 
 
 def test_a_known_host_is_dialled_for_a_request() -> None:
-    """Guards against failed outcome queries to hosts not connected."""
+    """Guard against failed outcome queries to hosts not connected."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -363,7 +363,7 @@
 
 
 def test_sightings_are_relayed_between_zones_of_a_larger_fleet() -> None:
-    """Guards against sightings and hosts not known in other zones."""
+    """Guard against sightings and hosts not known in other zones."""
 
     async def test(cluster: Cluster) -> None:
         for number in range(18):
@@ -407,7 +407,7 @@
 
 
 def test_early_heartbeats_are_rate_limited_but_not_lost() -> None:
-    """Guards against delayed state changes and floods of heartbeats."""
+    """Guard against delayed state changes and bursts of heartbeats."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
@@ -437,7 +437,7 @@
 def test_a_silent_connection_is_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against half-open connections that prevent a new one."""
+    """Guard against half-open connections that prevent a new one."""
     monkeypatch.setattr(const, "RECEIVE_TIMEOUT_S", 1.2)
 
     async def test(cluster: Cluster) -> None:
@@ -457,7 +457,7 @@
 def test_unauthenticated_connections_are_limited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against unauthenticated clients holding connections open."""
+    """Guard against unauthenticated clients holding connections open."""
     monkeypatch.setattr(const, "JOIN_TIMEOUT_S", 0.5)
     monkeypatch.setattr(const, "MAX_PENDING_HANDSHAKES", 3)
 
@@ -477,7 +477,7 @@
 
 
 def test_a_server_without_the_secret_is_disconnected() -> None:
-    """Guards against sending heartbeats and work to an impostor."""
+    """Guard against sending heartbeats and work to an impostor."""
 
     async def test(cluster: Cluster) -> None:
         closed: list[int | None] = []
@@ -503,7 +503,7 @@
 
 
 def test_amounts_are_sent_less_often_above_the_full_mesh() -> None:
-    """Guards against heavy traffic at watchers and delayed state changes."""
+    """Guard against heavy traffic at watchers and delayed state changes."""
     host = builders.make_host("eh1")
     heartbeat = make_heartbeat(host)
     peer = io_mesh.WebsocketMesh(
--- a/tests/components/peers/test_membership.py
+++ b/tests/components/peers/test_membership.py
@@ -18,7 +18,7 @@
 
 
 def test_states_follow_received_heartbeats() -> None:
-    """Guards against unreachable or leaving hosts that count as live."""
+    """Guard against unreachable or leaving hosts that count as live."""
     known = membership.Membership(own=OWN)
     known.set_listed([OWN, PEER], now=0.0)
     assert set(known.members) == {"eh2"}
@@ -41,7 +41,7 @@
 
 
 def test_a_reordered_heartbeat_is_ignored() -> None:
-    """Guards against going back to an older position or state."""
+    """Guard against going back to an older position or state."""
     known = membership.Membership(own=OWN)
     assert known.record_heartbeat(HEARTBEAT._replace(clock_ms=5), now=1.0)
     assert not known.record_heartbeat(HEARTBEAT._replace(clock_ms=4), now=9.0)
@@ -49,7 +49,7 @@
 
 
 def test_a_lower_clock_is_accepted_with_a_new_incarnation() -> None:
-    """Guards against ignoring a restarted host, whose clock starts again."""
+    """Guard against ignoring a restarted host, whose clock starts again."""
     known = membership.Membership(own=OWN)
     known.record_heartbeat(HEARTBEAT._replace(clock_ms=5000), now=1.0)
     assert known.record_handshake(RESTARTED_PEER, now=2.0)
@@ -64,7 +64,7 @@
 
 
 def test_indirect_reports_do_not_set_an_incarnation() -> None:
-    """Guards against superseding the running process due to a report."""
+    """Guard against superseding the running process due to a report."""
     known = membership.Membership(own=OWN)
     known.add(RESTARTED_PEER, now=0.0)
     assert known.record_handshake(PEER, now=1.0)
@@ -75,7 +75,7 @@
 
 
 def test_own_name_is_never_a_peer() -> None:
-    """Guards against connecting to an earlier run of the same host."""
+    """Guard against connecting to an earlier run of the same host."""
     known = membership.Membership(own=OWN)
     former = OWN._replace(incarnation="eh1-0")
     assert not known.record_handshake(former, now=0.0)
@@ -85,7 +85,7 @@
 
 
 def test_expired_hosts_are_removed_unless_listed() -> None:
-    """Guards against memory growth with each replaced host."""
+    """Guard against memory growth with each replaced host."""
     known = membership.Membership(own=OWN)
     other = builders.make_host("eh3")
     known.set_listed([other], now=0.0)
@@ -112,7 +112,7 @@
 def test_incarnations_never_move_back(
     events: list[tuple[str, int, int]],
 ) -> None:
-    """Guards against an older incarnation that replaces a newer one."""
+    """Guard against an older incarnation that replaces a newer one."""
     known = membership.Membership(own=OWN)
     current, superseded = "", set()
     for step, (kind, number, clock_ms) in enumerate(events):
@@ -153,7 +153,7 @@
 def test_candidates_change_only_with_version_and_unavailable(
     events: list[tuple[str, str, str, float]],
 ) -> None:
-    """Guards against a cached plan that misses a change of candidates."""
+    """Guard against a cached plan that misses a change of candidates."""
     known = membership.Membership(own=OWN)
     now = 0.0
     seen: dict[tuple[int, frozenset[str]], list[topology.Node]] = {}
--- a/tests/components/peers/test_relay.py
+++ b/tests/components/peers/test_relay.py
@@ -46,7 +46,9 @@
 def tick(host_relay: relay.Relay, now: float) -> dict[str, model.Relayed]:
     """Return the messages that a relay sends in a tick, by peer."""
     own = test_io_mesh.make_heartbeat(host_relay.own)
-    sent = host_relay.tick(own=own, zone=(), build_summary=False, now=now)
+    sent = host_relay.tick(
+        own_heartbeat=own, zone_heartbeats=(), build_summary=False, now=now
+    )
     return {outgoing.peer: outgoing.message for outgoing in sent}
 
 
@@ -60,7 +62,7 @@
 def test_every_sighting_reaches_every_host_in_time(
     size: int, per_zone: int, seed: int, disorder: bool
 ) -> None:
-    """Guards against lost sightings, loops and effects of duplicates."""
+    """Guard against lost sightings, loops and effects of duplicates."""
     rng = random.Random(seed)
     small_fleet = fleet.Fleet(size=size, hosts_per_zone=per_zone)
     run_for(small_fleet, 5.0)
@@ -85,7 +87,7 @@
 def test_lowest_position_reaches_all_hosts_and_is_never_too_high(
     seed: int, disorder: bool
 ) -> None:
-    """Guards against reporting a change in force that a host lacks."""
+    """Guard against reporting a change in force that a host lacks."""
     rng = random.Random(seed)
     small_fleet = fleet.Fleet(size=40, hosts_per_zone=8)
     run_for(small_fleet, 6.0, rng if disorder else None)
@@ -96,14 +98,14 @@
         small_fleet.step(rng=rng if disorder else None)
         for simulated in small_fleet.hosts.values():
             assert simulated.relay.lowest_revision() <= 1
-    named = {
+    lagging = {
         name
         for simulated in small_fleet.hosts.values()
         if simulated.watcher
         for status in simulated.relay.zone_statuses(now=small_fleet.now)
         for name in status.summary.lagging
     }
-    assert named == {slow.host.name}
+    assert lagging == {slow.host.name}
     slow.position = 5
     run_for(small_fleet, 4.0, rng if disorder else None)
     assert {s.relay.lowest_revision() for s in small_fleet.hosts.values()} == {
@@ -115,7 +117,7 @@
 def test_a_second_watcher_takes_over_the_positions(
     old_stays_primary: bool,
 ) -> None:
-    """Guards against positions that stop when the primary watcher does."""
+    """Guard against positions that stop when the primary watcher does."""
     small_fleet = fleet.Fleet(size=40, hosts_per_zone=8)
     run_for(small_fleet, 6.0)
     zone = next(iter(small_fleet.zones.values()))
@@ -159,7 +161,7 @@
 
 
 def test_a_late_position_does_not_hide_a_lower_one() -> None:
-    """Guards against reordering that reports a lost change in force."""
+    """Guard against reordering that reports a lost change in force."""
     host_relay = make_relay()
     host_relay.receive("w0", relayed(summaries=(make_summary(1, 5),)), now=0.0)
     host_relay.receive("w0", relayed(summaries=(make_summary(2, 3),)), now=0.0)
@@ -171,14 +173,14 @@
 
 
 def test_a_lower_position_is_reported_before_lagging_hosts() -> None:
-    """Guards against reporting a change in force that a host lost."""
+    """Guard against reporting a change in force that a host lost."""
     host_relay = make_relay()
     own = test_io_mesh.make_heartbeat(host_relay.own)
     other = own._replace(host=builders.make_host("eh2"))
     for now, revision in ((0.0, 7), (2.0, 7), (4.0, 3)):
         host_relay.tick(
-            own=own,
-            zone=[other._replace(catalogue_revision=revision)],
+            own_heartbeat=own,
+            zone_heartbeats=[other._replace(catalogue_revision=revision)],
             build_summary=True,
             now=now,
         )
@@ -187,7 +189,7 @@
 
 
 def test_items_are_forwarded_once_and_not_to_their_sender() -> None:
-    """Guards against loops and duplicate traffic between two watchers."""
+    """Guard against loops and duplicate traffic between two watchers."""
     host_relay = make_relay()
     relayed_sighting = model.RelayedSighting("eh9/1", 1, SIGHTING)
     message = relayed(
@@ -202,7 +204,7 @@
 
 
 def test_a_server_that_leaves_again_is_reported_again() -> None:
-    """Guards against deduplication that hides a second departure."""
+    """Guard against deduplication that hides a second departure."""
     host_relay = make_relay()
     for sequence, leaving in enumerate((True, False, True)):
         sighting = SIGHTING._replace(leaving=leaving)
@@ -214,7 +216,7 @@
 
 
 def test_the_same_sighting_of_many_hosts_is_forwarded_once() -> None:
-    """Guards against a flood when all hosts of a zone see a server leave."""
+    """Guard against a burst when all hosts of a zone see a server leave."""
     host_relay = make_relay()
     for number in range(30):
         relayed_sighting = model.RelayedSighting(f"eh{number}/1", 0, SIGHTING)
@@ -225,7 +227,7 @@
 
 
 def test_heartbeats_replace_lost_sightings() -> None:
-    """Guards against a sighting lost while a watcher was unreachable."""
+    """Guard against a sighting lost while a watcher was unreachable."""
     host_relay = make_relay()
     heartbeat = test_io_mesh.make_heartbeat(builders.make_host("eh2"))
     heartbeat = heartbeat._replace(sightings=(SIGHTING,))
@@ -235,7 +237,7 @@
 
 
 def test_messages_and_bytes_are_bounded() -> None:
-    """Guards against a flood of sightings that exhausts the network."""
+    """Guard against a burst of sightings that exhausts the network."""
     host_relay = make_relay(watchers=60)
     for number in range(5000):
         sighting = SIGHTING._replace(server=f"server-{number}")
@@ -255,7 +257,7 @@
 
 
 def test_memory_of_sightings_is_bounded() -> None:
-    """Guards against memory growth with each sighting."""
+    """Guard against memory growth with each sighting."""
     host_relay = make_relay()
     for number in range(const.SIGHTING_RETENTION_COUNT + 100):
         host_relay.originate(
@@ -268,7 +270,7 @@
 
 
 def test_clocks_of_remote_hosts_advance_but_never_get_ahead() -> None:
-    """Guards against run tokens that expire too late or at once."""
+    """Guard against run tokens that expire too late or at once."""
     host_relay = make_relay()
     host = builders.make_host("eh9", zone="tartu-a")
     heartbeat = test_io_mesh.make_heartbeat(host)._replace(clock_ms=1000)
@@ -288,7 +290,7 @@
 
 
 def test_remote_hosts_get_the_lowest_position_in_the_fleet() -> None:
-    """Guards against look-ups that treat each remote host as lagging."""
+    """Guard against look-ups that treat each remote host as lagging."""
     host_relay = relay.Relay(own=builders.make_host("eh1"))
     host_relay.set_peers(
         watcher=False,
--- a/tests/components/peers/test_send_queue.py
+++ b/tests/components/peers/test_send_queue.py
@@ -9,7 +9,7 @@
 
 
 def test_heartbeats_are_dropped_before_frames() -> None:
-    """Guards against replies displaced by outdated heartbeats."""
+    """Guard against replies displaced by outdated heartbeats."""
     queue = send_queue.SendQueue()
     queue.put(b"reply")
     for clock_ms in range(10_000):
@@ -22,7 +22,7 @@
 
 
 def test_frames_are_bounded_in_number_and_bytes() -> None:
-    """Guards against unbounded memory use for a stalled peer."""
+    """Guard against unbounded memory use for a stalled peer."""
     queue = send_queue.SendQueue()
     for number in range(const.SEND_QUEUE_MESSAGES + 3):
         queue.put(b"%d" % number)
--- a/tests/components/peers/test_topology.py
+++ b/tests/components/peers/test_topology.py
@@ -27,7 +27,7 @@
 
 
 def test_sixteen_hosts_have_a_full_mesh() -> None:
-    """Guards against small fleets that depend on watchers."""
+    """Guard against small fleets that depend on watchers."""
     nodes = make_nodes(zones=4, per_zone=4)
     assert len(topology.peers_to_dial(nodes[0], nodes)) == 15
     more = [*nodes, topology.Node("eh-x", nodes[-1].zone)]
@@ -35,7 +35,7 @@
 
 
 def test_all_hosts_are_connected_with_few_connections_each() -> None:
-    """Guards against a split fleet and too many connections per host."""
+    """Guard against a split fleet and too many connections per host."""
     nodes = make_nodes(zones=40, per_zone=6)
     peers_by_host = {n.name: topology.peers_to_dial(n, nodes) for n in nodes}
     watchers = {
@@ -67,7 +67,7 @@
 
 
 def test_watchers_change_only_with_their_own_loss() -> None:
-    """Guards against a change of watchers when another host is lost."""
+    """Guard against a change of watchers when another host is lost."""
     names = [f"eh{n}" for n in range(10)]
     first, second = topology.watchers_of("z", names)
     for lost in names:
@@ -84,7 +84,7 @@
 
 
 def test_hosts_connected_only_to_watchers_do_not_watch_the_store() -> None:
-    """Guards against most hosts of a fleet watching the catalogue."""
+    """Guard against most hosts of a fleet watching the catalogue."""
     hosts = [builders.make_host(f"eh{number}") for number in range(31)]
     chosen = topology.watchers_of("tallinn-a", [host.name for host in hosts])
     timer = timer_helper.ManualTimerService()
