--- a/tests/history/hosts.py
+++ b/tests/history/hosts.py
@@ -24,8 +24,8 @@
 from samphirelug.components.gateway import io_operator
 from samphirelug.components.metrics import registry
 from samphirelug.components.peers import io_mesh
-from samphirelug.components.peers import mesh as peer_mesh
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import limits
 from samphirelug.components.store import io_http_store
 from samphirelug import const
@@ -46,7 +46,7 @@
 SECRET = "a secret of the test cluster"
 SEAT_LEASE_S = 8.0
 LOOKUP_KEEP_S = 3.0
-ReplyCallback = Callable[[peer_model.Message | None], None] | None
+ReplyCallback = Callable[[peers_model.Message | None], None] | None
 # Keeps references to tasks, since the event loop holds only weak ones.
 TASKS: set[asyncio.Task[Any]] = set()
 
@@ -106,13 +106,13 @@
         self.waiter.resolve(reply)
 
 
-class FakeMesh(peer_mesh.PeerMesh):
+class FakeMesh(peers_mesh.PeerMesh):
     """Exchange messages over the simulated network."""
 
     def __init__(self, process: "HostProcess") -> None:
         self.process = process
-        self.handlers: dict[type, peer_mesh.Handler] = {}
-        self.peer_views: dict[str, peer_model.PeerView] = {}
+        self.handlers: dict[type, peers_mesh.Handler] = {}
+        self.peer_views: dict[str, peers_model.PeerView] = {}
         self.on_superseded: list[Callable[[], None]] = []
         self.heartbeat_scheduled = False
 
@@ -133,14 +133,14 @@
                 when_s=timer.monotonic() + 0.02, callback=self.send_heartbeat
             )
 
-    def live_peers(self) -> tuple[peer_model.PeerView, ...]:
+    def live_peers(self) -> tuple[peers_model.PeerView, ...]:
         since_s = self.process.timer.monotonic() - const.PEER_TIMEOUT_S
         peer_views = self.peer_views.values()
         return tuple(view for view in peer_views if view.heard_at_s >= since_s)
 
     async def request(
-        self, host: str, message: peer_model.Message, *, timeout_s: float
-    ) -> Result[peer_model.Message, result_codes.Refusal]:
+        self, host: str, message: peers_model.Message, *, timeout_s: float
+    ) -> Result[peers_model.Message, result_codes.Refusal]:
         waiter = Waiter()
         self.transmit(host, message, waiter.resolve)
         timer = self.process.timer
@@ -152,15 +152,15 @@
         code = result_codes.ResultCode.PEER_UNREACHABLE
         return Failure(result_codes.Refusal(code, host))
 
-    def send(self, host: str, message: peer_model.Message) -> None:
+    def send(self, host: str, message: peers_model.Message) -> None:
         self.transmit(host, message, None)
 
-    def broadcast(self, message: peer_model.Message) -> None:
+    def broadcast(self, message: peers_model.Message) -> None:
         for name in self.process.world.hosts:
             if name != self.process.host.name:
                 self.transmit(name, message, None)
 
-    def set_handler(self, kind: type, handler: peer_mesh.Handler) -> None:
+    def set_handler(self, kind: type, handler: peers_mesh.Handler) -> None:
         self.handlers[kind] = handler
 
     def send_heartbeat(self) -> None:
@@ -169,7 +169,7 @@
         self.broadcast(self.process.heartbeat())
 
     def transmit(
-        self, name: str, message: peer_model.Message, on_reply: ReplyCallback
+        self, name: str, message: peers_model.Message, on_reply: ReplyCallback
     ) -> None:
         self.process.world.transmit(
             self.process,
@@ -182,13 +182,13 @@
     def receive(
         self,
         sender: "HostProcess",
-        message: peer_model.Message,
+        message: peers_model.Message,
         on_reply: ReplyCallback,
     ) -> None:
         name = sender.host.name
-        if isinstance(message, peer_model.Heartbeat):
+        if isinstance(message, peers_model.Heartbeat):
             now = self.process.timer.monotonic()
-            self.peer_views[name] = peer_model.PeerView(message, now, True)
+            self.peer_views[name] = peers_model.PeerView(message, now, True)
             for sighting in message.sightings:
                 self.process.health.apply_sighting(sighting)
             return
