--- a/src/samphirelug/components/admission/const.py
+++ b/src/samphirelug/components/admission/const.py
@@ -30,10 +30,10 @@
 RETRY_AFTER_UNKNOWN_S = 1.0
 
 # Maximum number of dispatches that a rank can save up as credit.
-CREDIT_MAX = 2.0
+MAX_CREDIT = 2.0
 
 # Service time assumed until the first request of a service has ended.
-SERVICE_TIME_DEFAULT_S = 0.05
+INITIAL_SERVICE_TIME_S = 0.05
 # Weight of the newest observation in the average service time.
 SERVICE_TIME_WEIGHT = 0.1
 # Most requests end within the mean plus this many mean absolute deviations.
--- a/src/samphirelug/components/admission/estimate.py
+++ b/src/samphirelug/components/admission/estimate.py
@@ -56,7 +56,7 @@
         """Return the recent mean service time of a backend service."""
         return max(
             0.001,
-            self.service_times.get(service, const.SERVICE_TIME_DEFAULT_S),
+            self.service_times.get(service, const.INITIAL_SERVICE_TIME_S),
         )
 
     def high_service_time_s(self, work: str) -> float:
--- a/src/samphirelug/components/admission/scheduler.py
+++ b/src/samphirelug/components/admission/scheduler.py
@@ -91,7 +91,7 @@
         """Add what a rank with queued requests earns at a dispatch."""
         key = (pool, rank)
         earned = self.credits.get(key, 0.0) + fraction
-        self.credits[key] = min(const.CREDIT_MAX, earned)
+        self.credits[key] = min(const.MAX_CREDIT, earned)
 
     def has_credit(self, pools: Iterable[str], rank: core.Rank) -> bool:
         """Return whether a rank has a full credit in any of the pools."""
--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -32,8 +32,8 @@
 RECEIVE_TIMEOUT_S = 5.0
 # Keeps a peer that does not read from delaying a planned stop.
 CLOSE_TIMEOUT_S = 1.0
-RECONNECT_MIN_S = 0.2
-RECONNECT_MAX_S = 5.0
+INITIAL_RECONNECT_BACKOFF_S = 0.2
+MAX_RECONNECT_BACKOFF_S = 5.0
 # Of each pair, the host with the larger name waits for this time before it
 # dials, which avoids duplicate connections.
 LARGER_NAME_DIAL_DELAY_S = 0.3
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -477,29 +477,29 @@
             await self.timer.sleep(
                 const.LARGER_NAME_DIAL_DELAY_S * (1 + self.rng.random())
             )
-        delay_s = const.RECONNECT_MIN_S
+        delay_s = const.INITIAL_RECONNECT_BACKOFF_S
         while True:
             if name not in self.connections:
                 member = self.membership.members.get(name)
                 url = member.host.peer_url if member is not None else ""
                 if url and await self._dial(url, name):
-                    delay_s = const.RECONNECT_MIN_S
+                    delay_s = const.INITIAL_RECONNECT_BACKOFF_S
                 elif name not in self.connections:
                     self.membership.record_dial_failure(
                         name, now=self.timer.monotonic()
                     )
-                    delay_s = min(2 * delay_s, const.RECONNECT_MAX_S)
+                    delay_s = min(2 * delay_s, const.MAX_RECONNECT_BACKOFF_S)
             await self.timer.sleep(delay_s * (0.5 + self.rng.random()))
 
     async def _maintain_seed(self, url: str) -> None:
-        delay_s = const.RECONNECT_MIN_S
+        delay_s = const.INITIAL_RECONNECT_BACKOFF_S
         while self.seeds[url] != self.host.name:
             if self.seeds[url] not in self.connections and not (
                 await self._dial(url, "")
             ):
-                delay_s = min(2 * delay_s, const.RECONNECT_MAX_S)
+                delay_s = min(2 * delay_s, const.MAX_RECONNECT_BACKOFF_S)
             else:
-                delay_s = const.RECONNECT_MIN_S
+                delay_s = const.INITIAL_RECONNECT_BACKOFF_S
             await self.timer.sleep(delay_s * (0.5 + self.rng.random()))
 
     async def _dial(self, url: str, name: str) -> bool:
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -35,7 +35,7 @@
 UNIT_CHECK_S = 0.25
 UNIT_IDLE_S = 2 * REFUSED_BACKOFF_S
 # The lender reclaims plain units after this time if they are not returned.
-UNIT_LOAN_MAX_S = (
+MAX_UNIT_LOAN_S = (
     const.LOAN_S + const.REQUEST_HOLD_S + const.LINK_RELEASE_DELAY_S
 )
 # An unused bundle is returned after this time, so that its lender can use it.
@@ -281,7 +281,7 @@
                 now - requested_at_s < UNIT_IDLE_S
                 and now < loan.sent_at_s + const.LOAN_S
             )
-            if now >= loan.sent_at_s + UNIT_LOAN_MAX_S:
+            if now >= loan.sent_at_s + MAX_UNIT_LOAN_S:
                 self.ledger.drop_borrowed(loan_id)
             elif not in_demand and self.ledger.return_borrowed(loan_id):
                 self._return_units(loan)
--- a/src/samphirelug/components/steering/const.py
+++ b/src/samphirelug/components/steering/const.py
@@ -8,14 +8,14 @@
 FAILURES_BEFORE_PROBE = 3
 # Delay before a failed server is probed. It doubles, up to the maximum, if the
 # server fails again after a successful probe.
-PROBE_BACKOFF_S = 0.5
-PROBE_BACKOFF_MAX_S = 8.0
+INITIAL_PROBE_BACKOFF_S = 0.5
+MAX_PROBE_BACKOFF_S = 8.0
 
 # Weight of the newest observation in the average latency of a server.
 LATENCY_WEIGHT = 0.2
 # Maximum excess of a server's latency over that of the other candidate, as a
 # ratio, that counts as cost.
-LATENCY_RATIO_MAX = 4.0
+MAX_LATENCY_RATIO = 4.0
 # A cost of 1.0 is that of a server whose slots are all in use.
 LATENCY_COST = 0.25
 FAILURE_COST = 1.0
--- a/src/samphirelug/components/steering/health.py
+++ b/src/samphirelug/components/steering/health.py
@@ -46,7 +46,7 @@
         self.outstanding = 0
         self.failures = 0
         self.failed = False
-        self.backoff_s = const.PROBE_BACKOFF_S
+        self.backoff_s = const.INITIAL_PROBE_BACKOFF_S
         # Successful probes before this time do not make the server usable.
         self.probe_at_s = 0.0
         self.latency_s: float | None = None
@@ -100,7 +100,7 @@
             self._update_latency(state, latency_s)
         if failure is None:
             state.failures = 0
-            state.backoff_s = const.PROBE_BACKOFF_S
+            state.backoff_s = const.INITIAL_PROBE_BACKOFF_S
             return
         if failure is backend_model.FailureKind.LEAVING:
             self._mark_leaving(server, state, "", 0)
@@ -256,7 +256,7 @@
             return
         state.failed = True
         state.probe_at_s = self.timer.monotonic() + state.backoff_s
-        state.backoff_s = min(const.PROBE_BACKOFF_MAX_S, 2.0 * state.backoff_s)
+        state.backoff_s = min(const.MAX_PROBE_BACKOFF_S, 2.0 * state.backoff_s)
 
     def _mark_leaving(
         self, server: str, state: ServerState, incarnation: str, revision: int
--- a/src/samphirelug/components/steering/planner.py
+++ b/src/samphirelug/components/steering/planner.py
@@ -135,7 +135,7 @@
         cost += const.FAILURE_COST * state.failures
         if state.latency_s is not None and reference_latency_s > 0.0:
             ratio = state.latency_s / reference_latency_s - 1.0
-            cost += const.LATENCY_COST * min(const.LATENCY_RATIO_MAX, ratio)
+            cost += const.LATENCY_COST * min(const.MAX_LATENCY_RATIO, ratio)
         age_s = self.health.timer.monotonic() - state.load_at_s
         if age_s < const.LOAD_REPORT_MAX_AGE_S:
             cost += const.LOAD_COST * state.load
