--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -211,7 +211,8 @@
         if work is None:
             return Failure(
                 result_codes.Refusal(
-                    ResultCode.UNKNOWN_WORK, "the catalogue has no such work"
+                    ResultCode.UNKNOWN_WORK,
+                    "the catalogue has no work entry of this name",
                 )
             )
         return Success(work)
@@ -277,20 +278,21 @@
         assert run.task is not None
         waiter = asyncio.get_running_loop().create_future()
 
-        def wake(_: object = None) -> None:
+        def stop_waiting(_: object = None) -> None:
             if not waiter.done():
                 waiter.set_result(None)
 
-        run.task.add_done_callback(wake)
+        run.task.add_done_callback(stop_waiting)
         timeout = self.timer.call_at(
-            when_s=request.deadline_at_s + const.WAIT_MARGIN_S, callback=wake
+            when_s=request.deadline_at_s + const.WAIT_MARGIN_S,
+            callback=stop_waiting,
         )
         run.waiting_calls += 1
         try:
             await waiter
         finally:
             timeout.cancel()
-            run.task.remove_done_callback(wake)
+            run.task.remove_done_callback(stop_waiting)
             run.waiting_calls -= 1
             if run.waiting_calls == 0 and not run.dispatched:
                 run.task.cancel()
@@ -392,7 +394,7 @@
             max_answer_bytes=work["max_answer_bytes"],
             traffic=traffic,
         )
-        started_s = self.timer.monotonic()
+        started_at_s = self.timer.monotonic()
         run.dispatched = True
         self.health.attempt_started(name)
         server_done = False
@@ -424,7 +426,7 @@
                 answer_bytes=answer_bytes,
                 traffic=traffic,
             )
-            latency_s = self.timer.monotonic() - started_s
+            latency_s = self.timer.monotonic() - started_at_s
             self.health.attempt_ended(
                 name, latency_s=latency_s, failure=failure
             )
--- a/src/samphirelug/components/peers/relay.py
+++ b/src/samphirelug/components/peers/relay.py
@@ -506,8 +506,10 @@
             sightings=tuple(self._take_within_budget(outbox.sightings)),
             positions=self._take_positions(outbox),
             summaries=tuple(
-                _advance_clocks(self.zones.get(part.zone.name), part, now)
-                for part in self._take_within_budget(outbox.summaries)
+                _advance_clocks(
+                    self.zones.get(summary.zone.name), summary, now
+                )
+                for summary in self._take_within_budget(outbox.summaries)
             ),
             lowest_revision=0 if outbox.primary_watcher else lowest,
             highest_revision=self.highest_revision,
--- a/src/samphirelug/components/steering/lookup.py
+++ b/src/samphirelug/components/steering/lookup.py
@@ -124,7 +124,9 @@
     ) -> Result[CachedAnswer, result_codes.Refusal]:
         if not view.works:
             return _refuse(
-                result_codes.ResultCode.NO_CATALOGUE, "no catalogue yet", 1.0
+                result_codes.ResultCode.NO_CATALOGUE,
+                "this entry host has no catalogue yet",
+                1.0,
             )
         entry = view.works.get(work)
         if entry is None:
--- a/tests/components/execution/test_executor.py
+++ b/tests/components/execution/test_executor.py
@@ -266,10 +266,10 @@
     assert await call_other_host(world, token) is ResultCode.OK
 
 
-async def last_incarnation_has_unknown_outcome(
+async def previous_incarnation_has_unknown_outcome(
     world: world_module.World,
 ) -> None:
-    """A restarted host does not run tokens of its last incarnation."""
+    """A restarted host does not run tokens of its previous incarnation."""
     token = world.token()
     await dispatch(world, token)
     world.start_host("eh1")
@@ -429,7 +429,7 @@
     query_revokes_unused_token,
     lost_reply_has_unknown_outcome,
     other_host_returns_the_outcome,
-    last_incarnation_has_unknown_outcome,
+    previous_incarnation_has_unknown_outcome,
     handover_is_complete,
     handover_carries_current_clock,
     incomplete_handover_has_unknown_outcome,
--- a/tests/components/quota/test_ledger.py
+++ b/tests/components/quota/test_ledger.py
@@ -1,4 +1,4 @@
-"""Test that the ledger never hands out more units than it has."""
+"""Test that the ledger never grants more units than it has."""
 
 import time
 
