--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -558,7 +558,7 @@
     ) -> model.Permit | None:
         rejected: list[model.Permit] = []
         while True:
-            permit = self.borrower.take(
+            permit = self.borrower.try_acquire(
                 work=request.work,
                 region=region,
                 home_region=request.home_region,
@@ -573,7 +573,7 @@
                 break
             rejected.append(permit)
         # The lender may not know yet that these servers are leaving. Permits
-        # are ended only after the loop, since take() would return their
+        # are ended only after the loop, since try_acquire() would return their
         # bundles again.
         self._returning_bundles = True
         for rejected_permit in rejected:
--- a/src/samphirelug/components/admission/ports.py
+++ b/src/samphirelug/components/admission/ports.py
@@ -25,7 +25,7 @@
     def request_units(self, *, key: str, needed: int) -> None:
         """Ask peers for plain units of a key until this many are free."""
 
-    def take(
+    def try_acquire(
         self, *, work: str, region: str, home_region: str, body_bytes: int
     ) -> model.Permit | None:
         """Return a permit for a borrowed bundle, if one is available."""
--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -312,7 +312,7 @@
         repeatable: bool,
         run: Run,
     ) -> model.Outcome:
-        self.budget.count_first_attempt()
+        self.budget.record_first_attempt()
         excluded: frozenset[str] = frozenset()
         # Set once an attempt may have run the work; from then on, no refusal
         # may say that the request was not run.
@@ -343,7 +343,7 @@
             now = self.timer.monotonic()
             if now + const.MIN_RETRY_TIME_S >= request.deadline_at_s:
                 return Failure(unknown_outcome or refusal)
-            if not self.budget.take(now=now):
+            if not self.budget.try_acquire(now=now):
                 exhausted = result_codes.Refusal(
                     ResultCode.RETRY_BUDGET_EMPTY,
                     failure.detail,
--- a/src/samphirelug/components/execution/retry_budget.py
+++ b/src/samphirelug/components/execution/retry_budget.py
@@ -13,14 +13,14 @@
         self.reserve = const.MIN_RETRIES_BURST
         self.refilled_at_s = now
 
-    def count_first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Add the fraction of a retry that a first attempt earns."""
         self.credit = min(
             const.MAX_RETRY_CREDIT, self.credit + const.RETRY_RATIO
         )
 
-    def take(self, *, now: float) -> bool:
-        """Take one retry from the budget; return false when it is empty."""
+    def try_acquire(self, *, now: float) -> bool:
+        """Take one retry from the budget; return False if it is empty."""
         elapsed_s = max(0.0, now - self.refilled_at_s)
         self.refilled_at_s = max(now, self.refilled_at_s)
         self.reserve = min(
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -151,7 +151,7 @@
         self._requests[scope] = task
         task.add_done_callback(lambda _: self._requests.pop(scope, None))
 
-    def take(
+    def try_acquire(
         self, *, work: str, region: str, home_region: str, body_bytes: int
     ) -> admission_model.Permit | None:
         """Return a permit to dispatch now, or None if no bundle fits."""
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -59,7 +59,7 @@
         """Record the requested units."""
         self.requested_units[key] = needed
 
-    def take(
+    def try_acquire(
         self,
         *,
         work: str,  # noqa: ARG002
--- a/standins/simulation/quota.py
+++ b/standins/simulation/quota.py
@@ -310,7 +310,7 @@
                 self.dispatch(bundle, hold.unwrap(), None)
                 continue
             region = rng.choice([self.region, server.zone.region])
-            permit = self.borrower.take(
+            permit = self.borrower.try_acquire(
                 work="status", region=region, home_region=home, body_bytes=20
             )
             if permit is None:
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -99,10 +99,10 @@
     return asyncio.run(run())
 
 
-def take(
+def acquire(
     borrower: loans.Borrower, *, body_bytes: int = 20, home: str = "tallinn"
 ) -> admission_model.Permit | None:
-    return borrower.take(
+    return borrower.try_acquire(
         work="status",
         region="tallinn",
         home_region=home,
@@ -120,19 +120,19 @@
     def check(
         host: simulation.Host, mesh: ScriptedMesh, borrower: loans.Borrower
     ) -> None:
-        permit = take(borrower)
+        permit = acquire(borrower)
         assert permit is not None
         host.timer.advance(0.9)
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
-        permit = take(borrower)
+        permit = acquire(borrower)
         assert permit is not None
         # The idle bundle was returned. The loan ends at 0.9 s + 1.08 s.
         assert mesh.sent == [(0.9 + 0.1, returned(2))]
-        assert take(borrower) is None
+        assert acquire(borrower) is None
         host.timer.advance(0.19)
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
-        assert take(borrower) is None
+        assert acquire(borrower) is None
 
     sent = borrow(check, delay_s=0.9)
     assert [message for _, message in sent] == [returned(2), returned(1)]
@@ -147,7 +147,7 @@
         borrower: loans.Borrower,
     ) -> None:
         host.timer.now_s += 1.98
-        assert take(borrower) is None
+        assert acquire(borrower) is None
 
     borrow(check)
 
@@ -158,9 +158,9 @@
     def check(
         host: simulation.Host, mesh: ScriptedMesh, borrower: loans.Borrower
     ) -> None:
-        assert take(borrower, body_bytes=21) is None
-        assert take(borrower, home="tartu") is None
-        permit = take(borrower)
+        assert acquire(borrower, body_bytes=21) is None
+        assert acquire(borrower, home="tartu") is None
+        permit = acquire(borrower)
         assert permit is not None
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
         assert mesh.sent == [(0.0, returned(1))]
@@ -177,7 +177,7 @@
         mesh: ScriptedMesh,  # noqa: ARG001
         borrower: loans.Borrower,
     ) -> None:
-        for permit in (take(borrower), take(borrower)):
+        for permit in (acquire(borrower), acquire(borrower)):
             assert permit is not None
             borrower.end(
                 permit,
