--- a/src/samphirelug/components/commands/catalogue.py
+++ b/src/samphirelug/components/commands/catalogue.py
@@ -97,7 +97,7 @@
             catalogue.revisions[key],
             catalogue.entries[key]["owner"]
             if key in catalogue.entries
-            else f"not valid: {catalogue.invalid[key]}",
+            else f"invalid: {catalogue.invalid[key]}",
         )
         for key in sorted({*catalogue.entries, *catalogue.invalid})
         if kind is None or key.startswith(f"{kind}/")
--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -177,7 +177,7 @@
         if work is None:
             return result_codes.Refusal(
                 result_codes.ResultCode.UNKNOWN_WORK,
-                f"no work entry {route.work[:63]!r}",
+                f"the catalogue has no work entry {route.work[:63]!r}",
             )
         if work["work_class"].rank is not rank:
             return result_codes.Refusal(
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -29,7 +29,7 @@
     asyncio.run(test)
 
 
-def code_of(outcome: simulation.Outcome | None) -> Code | None:
+def refusal_code(outcome: simulation.Outcome | None) -> Code | None:
     return outcome.failure().code if isinstance(outcome, Failure) else None
 
 
@@ -113,7 +113,7 @@
         await harness.fill(12, URGENT)
         task = harness.submit(harness.request(URGENT, deadline_s=0.3))
         await harness.advance(0.34)
-        assert code_of(task.result()) is Code.DEADLINE_EXPIRED
+        assert refusal_code(task.result()) is Code.DEADLINE_EXPIRED
 
     run(test())
 
@@ -188,7 +188,7 @@
         assert len(admitted) == 8
         await harness.fill(2, URGENT)
         await harness.advance(2.1)
-        codes = [code_of(task.result()) for task in tasks]
+        codes = [refusal_code(task.result()) for task in tasks]
         assert codes.count(Code.SHIFT_CAP) == 22
 
     run(test())
@@ -230,7 +230,7 @@
         task = harness.submit(request)
         await harness.advance(0.8)
         outcome = task.result()
-        assert code_of(outcome) is expected
+        assert refusal_code(outcome) is expected
         if queued:
             assert outcome.failure().retry_after_s > 0.1
         for other in queued:
@@ -329,7 +329,7 @@
         await harness.advance(0.5)
         assert all(task.done() for task in tasks)
         if not reachable:
-            codes = {code_of(task.result()) for task in tasks}
+            codes = {refusal_code(task.result()) for task in tasks}
             assert codes == {Code.NO_SHARE}
             return
         # The lender and the borrower together never exceed the limit.
--- a/tests/components/peers/test_codec.py
+++ b/tests/components/peers/test_codec.py
@@ -72,7 +72,7 @@
 )
 
 
-def failure_code(data: bytes) -> result_codes.ResultCode:
+def refusal_code(data: bytes) -> result_codes.ResultCode:
     """Return the result code of the failure to decode the data."""
     return codec.decode(data).failure().code
 
@@ -138,16 +138,16 @@
     with pytest.raises(ValueError, match="at most"):
         codec.encode(model.OutcomeQuery("x" * limit))
     too_large = result_codes.ResultCode.PEER_MESSAGE_TOO_LARGE
-    assert failure_code(b"\0" * (limit + 1)) is too_large
+    assert refusal_code(b"\0" * (limit + 1)) is too_large
     invalid = result_codes.ResultCode.PEER_MESSAGE_INVALID
     # Excessive depth and duplicate keys in fields that are ignored.
     name = cbor2.dumps("type") + cbor2.dumps("Acknowledgement")
     assert is_successful(codec.decode(b"\xa1" + name))
     deep = b"\xa2" + name + b"\x61x" + b"\x81" * 40 + b"\x00"
-    assert failure_code(deep) is invalid
-    assert failure_code(b"\xa2" + name + name) is invalid
+    assert refusal_code(deep) is invalid
+    assert refusal_code(b"\xa2" + name + name) is invalid
     # An array whose header declares 2**60 items.
-    assert failure_code(b"\x9b\x10" + b"\0" * 7) is invalid
+    assert refusal_code(b"\x9b\x10" + b"\0" * 7) is invalid
 
 
 @given(strategies.binary(max_size=200))
--- a/tests/components/store/test_io_http_store.py
+++ b/tests/components/store/test_io_http_store.py
@@ -45,7 +45,7 @@
     asyncio.run(run())
 
 
-def failure_code(result: object) -> result_codes.ResultCode:
+def refusal_code(result: object) -> result_codes.ResultCode:
     """Return the code of a failed call."""
     assert isinstance(result, Failure)
     code = result.failure().code
@@ -64,11 +64,11 @@
         ).unwrap()
         assert first.revision == 1
         conflict = await client.put("a/b", {"n": 2}, expected_revision=0)
-        assert failure_code(conflict) is result_codes.ResultCode.STORE_CONFLICT
+        assert refusal_code(conflict) is result_codes.ResultCode.STORE_CONFLICT
         assert (await client.get("a/b")) == Success(first)
         missing = await client.get("a/c")
         assert (
-            failure_code(missing) is result_codes.ResultCode.OBJECT_NOT_FOUND
+            refusal_code(missing) is result_codes.ResultCode.OBJECT_NOT_FOUND
         )
         listing = (await client.list("a/")).unwrap()
         assert listing == (1, (first,))
@@ -116,9 +116,9 @@
         core: store_standin.StoreCore, client: io_http_store.HttpObjectStore
     ) -> None:
         core.faults.update(faults)
-        assert failure_code(await client.get("a")).name == read
+        assert refusal_code(await client.get("a")).name == read
         result = await client.put("a", {}, expected_revision=0)
-        assert failure_code(result).name == write
+        assert refusal_code(result).name == write
         assert core.revision == written
 
     run_with_store(scenario)
@@ -137,7 +137,7 @@
             await client.put("a", {}, expected_revision=0),
             await client.watch("a", after=0, timeout_s=0.1),
         ):
-            code = failure_code(result)
+            code = refusal_code(result)
             assert code is result_codes.ResultCode.STORE_UNAVAILABLE
         client.close()
 
