--- a/src/samphirelug/components/commands/explain.py
+++ b/src/samphirelug/components/commands/explain.py
@@ -15,10 +15,13 @@
 
 from samphirelug import result_codes
 
+# Format of the field time.
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 # Events up to this long before a request are listed as possible causes: the
 # longest pause of a server and the grace period after an outage are shorter.
 DEFAULT_WINDOW_S = 10.0
+# Messages on the end of a request. These and HOST_MESSAGES must not change, as
+# logs of earlier builds have to be readable.
 REQUEST_MESSAGES = frozenset(
     ("request ended", "request cancelled", "request failed in this process")
 )
@@ -36,6 +39,7 @@
 )
 # Fields of every log line, which the report omits or shows separately.
 COMMON_FIELDS = frozenset(("time", "level", "name", "message", "entry_host"))
+# Matches the servers that the detail of a refusal names as full.
 _SERVER_NAME = re.compile(r"(\S+) has [0-9.]+ requests")
 
 
--- a/src/samphirelug/components/commands/in_force.py
+++ b/src/samphirelug/components/commands/in_force.py
@@ -27,7 +27,7 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether the change is in force on every known host."""
+        """Return whether all known hosts, at least one, have the change."""
         return bool(self.in_force) and not self.lagging
 
 
@@ -53,6 +53,8 @@
         # may concern an older version of the entry.
         for key in sorted(status["rejected"].keys() & keys):
             rejected[f"{key}: {status['rejected'][key]}"] = None
+    # Entry hosts also report the positions of their peers. Of several reports
+    # on a host, the one with the highest position is the newest.
     for status in statuses.values():
         for host in status["hosts"] if status else ():
             positions[host["name"]] = max(
@@ -83,7 +85,7 @@
     timer: timer_helper.TimerService,
     on_progress: Callable[[Propagation], None],
 ) -> result_codes.Refusal | None:
-    """Poll until a change is in force on every host; return None then."""
+    """Poll until a change is in force; return why it is not, or None."""
     end_s = timer.monotonic() + timeout_s
     while True:
         statuses = await fetch_statuses()
--- a/src/samphirelug/components/commands/status_tables.py
+++ b/src/samphirelug/components/commands/status_tables.py
@@ -7,11 +7,12 @@
 
 # Keys of single servers and work entries are shown in the JSON output only.
 SHOWN_KEY_PREFIXES = ("region:", "shift:", "link:")
+# Fields of a quota key in the status, and columns of its table.
 UNIT_STATES = ("limit", "share", "free", "held", "lent", "borrowed")
 
 
 class StatusTable(NamedTuple):
-    """Represent one table of texts."""
+    """Represent a table whose cells are formatted as text."""
 
     title: str
     header: tuple[str, ...]
--- a/src/samphirelug/core.py
+++ b/src/samphirelug/core.py
@@ -99,6 +99,8 @@
     body: bytes
     # In seconds on the entry host's monotonic clock.
     deadline_at_s: float
+    # Region of the caller. A request that runs in another region counts
+    # towards the shift cap of that region.
     home_region: str
     run_token: str | None
 
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -282,6 +282,11 @@
         self._connect_components()
 
     def _connect_components(self) -> None:
+        """Register the callbacks between components.
+
+        The process stops when a peer reports that a newer process of the same
+        entry host has superseded it.
+        """
         self.health.on_sighting.append(self.mesh.broadcast)
         self.health.on_sighting.append(self._log_sighting)
         self.mesh.on_superseded.append(self.stop_requested.set)
@@ -311,12 +316,12 @@
         )
 
     def hosts_of(self, region: str) -> frozenset[str]:
-        """Return the entry hosts of a region; empty once it has none.
+        """Return the names of a region's entry hosts; empty if it has none.
 
-        If no host of the region was heard yet, or the last one was lost less
-        than TAKEOVER_DELAY_S ago, return those last known. Otherwise other
-        hosts would take over the region's quota shares at each start, and
-        they return them only slowly.
+        For TAKEOVER_DELAY_S after the start of this process or the loss of
+        the last host of the region, return the hosts last known instead.
+        Otherwise hosts of other regions would take over the quota shares of
+        the region at each start, and would return them only slowly.
         """
         hosts = [peer.heartbeat.host for peer in self.mesh.live_peers()]
         hosts.append(self.host)
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -162,6 +162,7 @@
         await self._stop()
 
     async def _stop(self) -> None:
+        """Announce the stop, then close connections when they are idle."""
         started_at_s = self.timer.monotonic()
         close_at_s = started_at_s + self.settings.stop_grace_s - CLOSE_MARGIN_S
         _LOGGER.info(
--- a/src/samphirelug/forwarding_settings.py
+++ b/src/samphirelug/forwarding_settings.py
@@ -43,6 +43,8 @@
     zone: core.AvailabilityZone
     # Regions by availability zone.
     zones: Mapping[str, str]
+    # Addresses to listen on, for the requests of callers, readiness probes,
+    # look-ups, datagrams of other entry hosts and reads of the metrics.
     callers: SocketAddress
     ready: SocketAddress
     directory: SocketAddress
--- a/src/samphirelug/helpers/log_output.py
+++ b/src/samphirelug/helpers/log_output.py
@@ -9,7 +9,7 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Write records to a descriptor and buffer lines while it is full."""
+    """Write records to a descriptor, and buffer lines while it blocks."""
 
     def __init__(self, *, descriptor: int) -> None:
         super().__init__()
