--- a/src/samphirelug/components/backend/prober.py
+++ b/src/samphirelug/components/backend/prober.py
@@ -16,7 +16,7 @@
 from samphirelug import core
 from samphirelug.helpers import timer as timer_helper
 
-LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 
 class HealthProber:
@@ -110,7 +110,9 @@
                 self.health.apply_report(result.unwrap())
                 return
             failure = result.failure()
-            LOG.debug("probe of %s failed: %s", server.name, failure.detail)
+            _LOGGER.debug(
+                "probe of %s failed: %s", server.name, failure.detail
+            )
             if failure.kind is model.FailureKind.LEAVING:
                 self.health.apply_report(
                     model.HealthReport(server.name, True, 1.0, "")
--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -28,7 +28,7 @@
 from samphirelug import result_codes
 from samphirelug.result_codes import ResultCode
 
-LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 _CODE_BY_FAILURE = {
     backend_model.FailureKind.NOT_SENT: ResultCode.BACKEND_UNREACHABLE,
@@ -190,7 +190,7 @@
         """Store the outcomes of a peer that is stopping."""
         assert isinstance(message, peers_model.OutcomeHandover)
         if not self.outcomes.accept_handover(message):
-            LOG.warning(
+            _LOGGER.warning(
                 "outcome table full; rejected the outcomes of %s", sender
             )
             return None
@@ -261,7 +261,7 @@
                 request, found.unwrap(), repeatable=False, run=run
             )
         except Exception:
-            LOG.exception(
+            _LOGGER.exception(
                 "run failed unexpectedly", extra=_log_fields(request)
             )
             return _refuse(
--- a/src/samphirelug/components/gateway/exchange.py
+++ b/src/samphirelug/components/gateway/exchange.py
@@ -16,7 +16,7 @@
 from samphirelug import core
 from samphirelug import result_codes
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 # Statuses of responses without a body and Content-Length.
 BODYLESS_STATUSES = frozenset({204, 304})
 # The colon, space and CRLF of a header field.
@@ -140,7 +140,9 @@
             self._record_metrics(result_codes.ResultCode.CALLER_GONE)
             raise
         except Exception:
-            LOGGER.exception("unexpected error in request %s", self.request_id)
+            _LOGGER.exception(
+                "unexpected error in request %s", self.request_id
+            )
             result = Failure(
                 result_codes.Refusal(
                     result_codes.ResultCode.INTERNAL_ERROR,
--- a/src/samphirelug/components/gateway/io_operator.py
+++ b/src/samphirelug/components/gateway/io_operator.py
@@ -11,7 +11,7 @@
 
 from samphirelug.components.metrics import registry
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 
 class JsonHandler(web.RequestHandler):
--- a/src/samphirelug/components/gateway/io_server.py
+++ b/src/samphirelug/components/gateway/io_server.py
@@ -18,7 +18,7 @@
 from samphirelug import core
 from samphirelug import result_codes
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 # Response that tornado writes to a request that it cannot parse.
 TORNADO_BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\n\r\n"
 
@@ -156,7 +156,7 @@
             # the caller could lose the refusal before reading it.
             connection.shutdown(socket.SHUT_WR)
         except OSError:
-            LOGGER.debug("caller disconnected before it was refused")
+            _LOGGER.debug("caller disconnected before it was refused")
         self.service.timer.call_at(
             when_s=self.service.timer.monotonic() + 1.0,
             callback=connection.close,
--- a/src/samphirelug/components/peers/hosts.py
+++ b/src/samphirelug/components/peers/hosts.py
@@ -22,7 +22,7 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-_LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 _HOSTS_PREFIX = "hosts/"
 
 
@@ -79,7 +79,7 @@
         except pydantic.ValidationError as error:
             reason = str(error.errors(include_url=False)[0]["msg"])
             if self.rejected.get(stored.key) != reason:
-                _LOG.warning(
+                _LOGGER.warning(
                     "Ignoring invalid host list %s: %s", stored.key, reason
                 )
             self.rejected[stored.key] = reason
@@ -235,6 +235,6 @@
         return const.HOST_LIST_POLL_S * (0.5 + self.rng.random())
 
     def _retry_delay_s(self, refusal: result_codes.Refusal) -> float:
-        _LOG.info("Could not read the host list: %s", refusal.detail)
+        _LOGGER.info("Could not read the host list: %s", refusal.detail)
         wait_s = max(const.HOST_LIST_RETRY_S, refusal.retry_after_s)
         return wait_s * (0.5 + self.rng.random())
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -34,7 +34,7 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-_LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 _Code = result_codes.ResultCode
 _HANDSHAKE = (model.Challenge, model.Hello, model.Welcome)
 # Close reason if two hosts already have a connection to each other; peers
@@ -376,7 +376,7 @@
         try:
             frame = codec.encode(message)
         except ValueError as error:
-            _LOG.error("Could not send a peer message: %s", error)
+            _LOGGER.error("Could not send a peer message: %s", error)
             self._count_message(type(message).__name__, "too_large")
             return
         for connection in connections:
@@ -516,7 +516,7 @@
                 close_timeout=const.CLOSE_TIMEOUT_S,
             )
         except (*_TRANSPORT_ERRORS, ValueError) as error:
-            _LOG.debug("Could not connect to peer %s: %s", url, error)
+            _LOGGER.debug("Could not connect to peer %s: %s", url, error)
             return False
         try:
             with self.handshake.join_deadline(websocket):
@@ -527,7 +527,7 @@
         except io_handshake.HandshakeError as error:
             await self._refuse_connection(websocket, error.refusal, url)
         except exceptions.ConnectionClosed as closed:
-            _LOG.warning(
+            _LOGGER.warning(
                 "Peer %s closed the connection during the handshake: %s",
                 url,
                 closed,
@@ -598,7 +598,7 @@
         refusal: result_codes.Refusal,
         address: str,
     ) -> None:
-        _LOG.warning(
+        _LOGGER.warning(
             "Refusing the connection with peer %s: %s", address, refusal.detail
         )
         self._count_message("Hello", refusal.code.name.lower())
@@ -646,7 +646,7 @@
     def _check_superseded(self, closed: exceptions.ConnectionClosed) -> None:
         if closed.rcvd is None or closed.rcvd.reason != _SUPERSEDED:
             return
-        _LOG.error(
+        _LOGGER.error(
             "A process started later uses the host name %s", self.host.name
         )
         for callback in self.on_superseded:
@@ -736,7 +736,7 @@
                     case Success(codec.UnknownType(name)):
                         # Not counted by name, since peers could send any
                         # number of names and so of label values.
-                        _LOG.info(
+                        _LOGGER.info(
                             "Ignoring peer message of unknown type %s", name
                         )
                         self._count_message("unknown", "ignored")
@@ -749,7 +749,7 @@
                     case Failure(result_codes.Refusal() as invalid):
                         refusal = invalid
             self._count_message("invalid", refusal.code.name.lower())
-            _LOG.warning(
+            _LOGGER.warning(
                 "Closing the connection to peer %s: %s",
                 connection.host.name,
                 refusal.detail,
@@ -822,7 +822,7 @@
         try:
             reply = await handler(name, frame.message)
         except Exception:
-            _LOG.exception("Error handling a message from peer %s", name)
+            _LOGGER.exception("Error handling a message from peer %s", name)
             self._count_message(type(frame.message).__name__, "handler_failed")
             return
         finally:
@@ -834,7 +834,9 @@
         try:
             connection.put(codec.encode(reply, reply_to=frame.message_id))
         except ValueError as error:
-            _LOG.error("Could not send the reply to peer %s: %s", name, error)
+            _LOGGER.error(
+                "Could not send the reply to peer %s: %s", name, error
+            )
             self._count_message(type(reply).__name__, "too_large")
 
     def _spawn(self, coroutine: Any) -> "asyncio.Task[Any]":
@@ -849,7 +851,7 @@
             return
         error = task.exception()
         if not isinstance(error, _TRANSPORT_ERRORS):
-            _LOG.error("Unexpected error in a peer task", exc_info=error)
+            _LOGGER.error("Unexpected error in a peer task", exc_info=error)
 
     def _count_message(self, kind: str, outcome: str) -> None:
         if self.metrics is not None:
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -18,7 +18,7 @@
 from samphirelug import core
 from samphirelug.helpers import timer as timer_helper
 
-LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 # A reply after this time leaves too little of the loan to be useful.
 GRANT_TIMEOUT_S = const.LOAN_S / 2
--- a/src/samphirelug/components/quota/seat_keeper.py
+++ b/src/samphirelug/components/quota/seat_keeper.py
@@ -22,7 +22,7 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 # While units are missing or in surplus, this many polls use the first
 # interval. Each further interval is twice as long, up to the renewal interval.
@@ -133,7 +133,7 @@
             if self._is_released(state):
                 return
             if self.timer.monotonic() >= end_s:
-                LOG.warning(
+                _LOGGER.warning(
                     "seat in %s was not released in time; it will expire",
                     state.group,
                 )
@@ -259,7 +259,7 @@
             try:
                 await self._reconcile(state)
             except Exception:
-                LOG.exception(
+                _LOGGER.exception(
                     "unexpected error while renewing the seat in %s",
                     state.group,
                 )
@@ -352,7 +352,7 @@
             found = answer.unwrap()
             table = seats.decode_table(state.group, found.value)
             if isinstance(table, Failure):
-                LOG.error(
+                _LOGGER.error(
                     "seat table %s is invalid: %s", state.key, table.failure()
                 )
                 return False
@@ -363,11 +363,15 @@
         refusal = answer.failure()
         if refusal.code == result_codes.ResultCode.OBJECT_NOT_FOUND:
             if state.revision > 0:
-                LOG.error("seat table %s is missing from the store", state.key)
+                _LOGGER.error(
+                    "seat table %s is missing from the store", state.key
+                )
                 return False
             self._apply_table(state, model.SeatTable(state.group, {}), 0)
             return True
-        LOG.info("seat table %s cannot be read: %s", state.key, refusal.detail)
+        _LOGGER.info(
+            "seat table %s cannot be read: %s", state.key, refusal.detail
+        )
         return False
 
     async def _write_table(
@@ -383,7 +387,7 @@
             self._schedule_poll(state, now)
             return
         refusal = answer.failure()
-        LOG.info(
+        _LOGGER.info(
             "seat table %s was not written: %s", state.key, refusal.detail
         )
         if refusal.code == result_codes.ResultCode.STORE_CONFLICT:
@@ -446,7 +450,7 @@
         units_before = before.units if before is not None else {}
         units = seat.units if seat is not None else {}
         if units != units_before:
-            LOG.info(
+            _LOGGER.info(
                 "units of the seat in %s changed",
                 state.group,
                 extra={
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -46,7 +46,7 @@
 from samphirelug import settings as settings_module
 from samphirelug import status
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 # Added to the time for which callers keep look-up answers, for answers that
 # are still in transit.
 LEAVING_MARGIN_S = 1.0
@@ -384,7 +384,7 @@
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.stop_requested.set)
-        LOGGER.info(
+        _LOGGER.info(
             "starting entry host %s as incarnation %s",
             self.host.name,
             self.host.incarnation,
@@ -414,7 +414,7 @@
         if self.state is core.EntryHostState.STARTING:
             self.state = core.EntryHostState.SERVING
             self.mesh.heartbeat_now()
-            LOGGER.info(
+            _LOGGER.info(
                 "serving with catalogue position %d", self.catalogue.position
             )
 
@@ -426,7 +426,9 @@
         """Stop without interrupting requests; see design.md, section 8."""
         was_serving = self.state is core.EntryHostState.SERVING
         self.state = core.EntryHostState.LEAVING
-        LOGGER.info("stopping: look-up answers no longer list this entry host")
+        _LOGGER.info(
+            "stopping: look-up answers no longer list this entry host"
+        )
         self.mesh.heartbeat_now()
         if was_serving and self.mesh.live_peers():
             keep_s = self.settings.lookup_keep_s + LEAVING_MARGIN_S
@@ -445,7 +447,7 @@
             await listener.close()
         await self.operator_server.stop()
         await self.mesh.stop()
-        LOGGER.info("entry host stopped")
+        _LOGGER.info("entry host stopped")
 
     async def _wait_in_flight(self) -> None:
         """Wait for requests, and for runs whose callers have disconnected."""
@@ -453,7 +455,7 @@
         while self._in_flight() and self.timer.monotonic() < end_s:
             await self.timer.sleep(POLL_INTERVAL_S)
         if self._in_flight():
-            LOGGER.error(
+            _LOGGER.error(
                 "%d requests still in flight when the stop's wait timed out",
                 self._in_flight(),
             )
@@ -463,7 +465,7 @@
 
     def _log_sighting(self, sighting: peers_model.Sighting) -> None:
         """Log a change of the state of a backend server."""
-        LOGGER.info(
+        _LOGGER.info(
             "backend server %s is %s",
             sighting.server,
             "leaving" if sighting.leaving else "live again",
@@ -474,7 +476,7 @@
         self, sender: str, message: peers_model.Message
     ) -> None:
         assert isinstance(message, peers_model.Sighting)
-        LOGGER.debug("peer %s reported server %s", sender, message.server)
+        _LOGGER.debug("peer %s reported server %s", sender, message.server)
         self.health.apply_sighting(message)
 
     async def _on_grant_request(
@@ -513,7 +515,7 @@
         self.health.set_known_servers(view.servers)
         self.host_list.publish()
         self.mesh.heartbeat_now()
-        LOGGER.info(
+        _LOGGER.info(
             "catalogue position %d is in force", self.catalogue.position
         )
 
@@ -528,7 +530,7 @@
             return
         error = task.exception()
         if error is not None:
-            LOGGER.critical(
+            _LOGGER.critical(
                 "background task failed; stopping the entry host",
                 exc_info=error,
             )
--- a/src/samphirelug/helpers/logging.py
+++ b/src/samphirelug/helpers/logging.py
@@ -9,7 +9,7 @@
 from samphirelug.helpers import timer
 from samphirelug import result_codes
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 LOG_FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
@@ -85,12 +85,12 @@
         code = refusal.code
         outcome_unknown = code.effect is result_codes.Effect.OUTCOME_UNKNOWN
         level = logging.WARNING if outcome_unknown else logging.INFO
-        if not LOGGER.isEnabledFor(level):
+        if not _LOGGER.isEnabledFor(level):
             return
         suppressed = self.sampler.sample(f"{code.name}/{rank.label}")
         if suppressed is None:
             return
-        LOGGER.log(
+        _LOGGER.log(
             level,
             "refused with %s: %s",
             code.name,
--- a/src/samphirelug/status.py
+++ b/src/samphirelug/status.py
@@ -17,7 +17,7 @@
 from samphirelug.helpers import loop_lag
 from samphirelug.helpers import timer as timer_helper
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 SEAT_CHECK_INTERVAL_S = 1.0
 # Keys of single servers and work entries are left out: they would make too
 # many label values.
@@ -166,7 +166,7 @@
             group for group, valid_s in seats.items() if valid_s
         }
         for group in sorted(expired):
-            LOGGER.error(
+            _LOGGER.error(
                 "seat in %s expired: its units are unavailable until the store"
                 " confirms a renewal",
                 group,
