--- a/src/samphirelug/components/commands/catalogue.py
+++ b/src/samphirelug/components/commands/catalogue.py
@@ -33,8 +33,8 @@
 # Timeout of one query while a command waits for its change to be in force.
 STATUS_TIMEOUT_S = 2.0
 # Limits on the store calls of one command. A command writes entries one by
-# one, and an operator's file may hold a whole catalogue, whose writing the
-# lower budget of an entry host would delay.
+# one, and an operator's file may contain a whole catalogue; with the lower
+# limits of an entry host, writing it would take too long.
 COMMAND_LIMITS: Mapping[budget.CallKind, budget.CallLimit] = {
     budget.CallKind.READ: budget.CallLimit(calls_per_s=20.0, burst=50),
     budget.CallKind.WRITE: budget.CallLimit(calls_per_s=20.0, burst=50),
--- a/src/samphirelug/components/commands/explain.py
+++ b/src/samphirelug/components/commands/explain.py
@@ -39,7 +39,7 @@
 )
 # Fields of every log line, which the report omits or shows separately.
 COMMON_FIELDS = frozenset(("time", "level", "name", "message", "entry_host"))
-# Matches the servers that the detail of a refusal names as full.
+# Pattern of the servers that the detail of a refusal names as full.
 _SERVER_NAME = re.compile(r"(\S+) has [0-9.]+ requests")
 
 
--- a/src/samphirelug/components/metrics/registry.py
+++ b/src/samphirelug/components/metrics/registry.py
@@ -76,7 +76,7 @@
             "Time for which the seat stays valid without the store",
         )
         self.ready = self._gauge(
-            "samphirelug_ready", "1 while /readyz says yes, else 0"
+            "samphirelug_ready", "1 while /readyz answers 200, else 0"
         )
         self.in_flight = self._gauge(
             "samphirelug_in_flight_requests", "Requests of callers in flight"
--- a/src/samphirelug/const.py
+++ b/src/samphirelug/const.py
@@ -33,6 +33,6 @@
 # Value of HEADER_WORK by which a backend server states in its answer that it
 # did not run the request.
 WORK_NOT_RUN = "not-run"
-# Sent by a backend server that is leaving.
+# Header field that a backend server sends while it is leaving.
 HEADER_DRAIN = "Samphirelug-Drain"
 HEADER_REQUEST_ID = "X-Request-Id"
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -59,8 +59,8 @@
 # The hosts of other regions take over a region's quota shares this long after
 # the last heartbeat of its last host.
 TAKEOVER_DELAY_S = 30.0
-# Represents the hosts of a region from which no heartbeat was received yet.
-# Not a valid name of a host.
+# Placeholder for the hosts of a region from which no heartbeat was received
+# yet. Not a valid name of a host.
 PLACEHOLDER_HOST = "?"
 
 
@@ -456,7 +456,7 @@
             await self.timer.sleep(POLL_INTERVAL_S)
         if self._in_flight():
             _LOGGER.error(
-                "%d requests still in flight when the stop's wait timed out",
+                "time limit of the stop reached with %d requests in flight",
                 self._in_flight(),
             )
 
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -34,15 +34,15 @@
 from samphirelug.helpers import timer as timer_helper
 
 _LOGGER = logging.getLogger(__name__)
-# Fraction of the grace period of a stop before the listener stops. Within it,
-# callers learn that the host is stopping.
+# Fraction of the grace period of a stop for which the listener continues to
+# accept connections, until callers have learnt that the host is stopping.
 LISTEN_FRACTION = 0.35
 # Reserved at the end of the grace period for closing connections.
 CLOSE_MARGIN_S = 0.4
 STOP_POLL_INTERVAL_S = 0.05
 # Pause after received changes of backend servers, as a fraction of the time
-# within which hosts must act on a leaving server. The rest of that time allows
-# for a slow store and for a connection that must be opened again.
+# within which hosts must act on a draining server. The rest of that time
+# allows for a slow store and for a connection that must be opened again.
 SERVER_PAUSE_FRACTION = 0.35
 # Interval at which the gauge samphirelug_belief is updated.
 BELIEF_INTERVAL_S = 1.0
--- a/src/samphirelug/forwarding_settings.py
+++ b/src/samphirelug/forwarding_settings.py
@@ -56,6 +56,6 @@
     stop_grace_s: float
     # Longest time for which callers may reuse a look-up answer.
     lookup_keep_s: float
-    # Time within which hosts stop sending new requests to a leaving server.
+    # Time within which hosts stop sending new requests to a draining server.
     drain_s: float
     resources: HostResources
--- a/src/samphirelug/helpers/rendezvous.py
+++ b/src/samphirelug/helpers/rendezvous.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-# Scales a 64-bit hash to the open interval from 0 to 1.
+# Factor that scales a 64-bit hash to the open interval from 0 to 1.
 HASH_SCALE = 1.0 / (1 << 64)
 
 
--- a/src/samphirelug/helpers/timer.py
+++ b/src/samphirelug/helpers/timer.py
@@ -113,7 +113,7 @@
 
     def __init__(self, *, start_s: float = 0.0) -> None:
         self.now_s = start_s
-        # Orders callbacks that are due at the same time.
+        # Numbers that order callbacks that are due at the same time.
         self.sequence = itertools.count()
         self.pending: list[
             tuple[float, int, Callable[[], None], ManualSubscription]
--- a/src/samphirelug/status.py
+++ b/src/samphirelug/status.py
@@ -19,8 +19,8 @@
 
 _LOGGER = logging.getLogger(__name__)
 SEAT_CHECK_INTERVAL_S = 1.0
-# Keys of single servers and work entries are left out: they would make too
-# many label values.
+# Keys of single servers and work entries are not exported as metrics, since
+# they would add too many label values.
 METRIC_KEY_PREFIXES = ("region:", "shift:", "link:")
 
 
@@ -105,7 +105,7 @@
         }
 
     def quota(self) -> dict[str, dict[str, int]]:
-        """Return the units by key: allocated, in use, lent and borrowed."""
+        """Return the limit of each quota key and its units in each state."""
         own = self.entry_host
         borrowed = own.borrower.borrowed
         quota = {
--- a/tests/components/commands/test_status.py
+++ b/tests/components/commands/test_status.py
@@ -56,7 +56,7 @@
 def test_tables_show_all_fields(
     environment: conftest.CommandEnvironment,
 ) -> None:
-    """Guard against missing fields, and --watch that does not end."""
+    """Guard against missing fields, and --watch that hangs in a pipe."""
     environment.entry_host.answers["/v1/status"] = (200, STATUS)
     command = (
         "status",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -17,7 +17,7 @@
 
 
 def test_result_code_table_is_complete() -> None:
-    """Guards against result codes that are not documented correctly."""
+    """Guard against result codes that are not documented correctly."""
     table = {}
     for line in (DOCS / "result-codes.md").read_text().splitlines():
         if match := ROW.match(line):
@@ -34,7 +34,7 @@
 
 
 def test_settings_table_is_complete() -> None:
-    """Guards against settings that are missing or wrong on the page."""
+    """Guard against settings that are missing or wrong on the page."""
     root: Any = typer.main.get_command(__main__.app)
     run = root.commands["entry-host"].commands["run"]
     expected = set()
@@ -50,6 +50,7 @@
 
 
 def test_walkthroughs_produce_the_documented_output() -> None:
-    """Guards against documented commands that do not work."""
-    # Starting, changing, rolling back, draining and replacing.
+    """Guard against documented commands that do not work."""
+    # Sections 1 to 5: start, change and roll-back of the catalogue, drain of a
+    # backend server and replacement of an entry host.
     assert asyncio.run(walkthrough.run_walkthroughs(last=5)) == 5
--- a/tests/test_result_codes.py
+++ b/tests/test_result_codes.py
@@ -4,7 +4,7 @@
 
 
 def test_effect_matches_number_range() -> None:
-    """Guards against a code whose effect misleads callers."""
+    """Guard against a code whose effect contradicts its number range."""
     for code in result_codes.ResultCode:
         if 1000 <= code < 2000:
             assert code.effect is result_codes.Effect.NOT_RUN
