--- a/tests/system/harness.py
+++ b/tests/system/harness.py
@@ -1,4 +1,4 @@
-"""Run load against a fleet of real processes and check the promises."""
+"""Run load against a fleet of real processes and check the guarantees."""
 
 import asyncio
 import random
@@ -17,12 +17,14 @@
     for zone in zones
     for index in "12"
 ]
-# The demo's catalogue has these limits for each region.
+# Limits of each region in the demo's catalogue.
 REGION_LIMIT = 12
 SHIFT_REQUESTS = 20
 SHIFT_INTERVAL_S = 5.0
-REPEATS = 40
-# More than a flood keeps open, since callers do not wait for each other.
+# Most repeats of a request whose outcome is not known.
+MAX_REPEATS = 40
+# Above the number of connections that a flood keeps open, since callers do
+# not wait for each other.
 MAX_CLIENTS = 5000
 DEADLINE_S = 8.0
 REPEAT_PAUSE_S = 0.5
@@ -40,7 +42,7 @@
 
 
 class Load:
-    """Send requests at random times and keep what each caller got."""
+    """Send requests at random times and record the results."""
 
     def __init__(
         self, *, running: fleet.Fleet, seed: int, think_s: float = 0.0
@@ -64,18 +66,19 @@
     async def run(
         self, *, works: list[str], rate_per_s: float, seconds: float
     ) -> None:
-        """Start requests for a time; wait() ends when all have ended.
+        """Start requests for this many seconds; wait() awaits their results.
 
-        Arrivals keep to their schedule, so a busy machine offers no less.
+        The times of the requests do not depend on earlier results or on the
+        speed of the machine, so that a busy machine does not reduce the load.
         """
         start_s = TIMER.monotonic()
         at_s = 0.0
         while at_s < seconds:
-            self.start_one(self.rng.choice(works))
+            self.start_request(self.rng.choice(works))
             at_s += self.rng.expovariate(rate_per_s)
             await TIMER.sleep(max(0.0, start_s + at_s - TIMER.monotonic()))
 
-    def start_one(self, work: str) -> None:
+    def start_request(self, work: str) -> None:
         """Start one request of a random caller."""
         number = len(self.tasks)
         client = self.rng.choice(self.callers)
@@ -86,7 +89,7 @@
         )
 
     async def wait(self) -> None:
-        """Return when every caller has its result."""
+        """Wait until all requests have their results."""
         await asyncio.gather(*self.tasks)
         for client in self.callers:
             client.close()
@@ -95,32 +98,37 @@
         self, client: caller.Caller, work: str, work_id: str
     ) -> None:
         body = f"body of {work_id}"
-        found = await client.look_up(work)
-        if found.status != 200:
-            self.calls.append(checks.Call(work_id, body, found, client.place))
+        lookup = await client.look_up(work)
+        if lookup.status != 200:
+            self.calls.append(checks.Call(work_id, body, lookup, client.place))
             return
-        if found.body.get("run_token"):
+        if lookup.body.get("run_token"):
             await TIMER.sleep(self.think_s)
         result = await client.call(
             work,
             body=body,
             work_id=work_id,
-            lookup=found.body,
+            lookup=lookup.body,
             deadline_s=DEADLINE_S,
         )
-        if found.body.get("run_token"):
-            result = await self._settle(client, found.body, result, work_id)
+        if lookup.body.get("run_token"):
+            result = await self._repeat_until_known(
+                client, lookup.body, result, work_id
+            )
         self.calls.append(checks.Call(work_id, body, result, client.place))
 
-    async def _settle(
+    async def _repeat_until_known(
         self,
         client: caller.Caller,
         lookup: dict[str, Any],
         result: caller.CallResult,
         work_id: str,
     ) -> caller.CallResult:
-        """Repeat with the same token, as callers are told to."""
-        for _ in range(REPEATS):
+        """Repeat a request with its token until the outcome is known.
+
+        The documentation asks callers to do so.
+        """
+        for _ in range(MAX_REPEATS):
             if result.status and result.name != "ATTEMPT_RUNNING":
                 break
             await TIMER.sleep(REPEAT_PAUSE_S)
@@ -133,11 +141,13 @@
         return result
 
 
-async def check_promises(running: fleet.Fleet, load: Load) -> None:
-    """Assert what must hold under any failure."""
+async def check_guarantees(running: fleet.Fleet, load: Load) -> None:
+    """Assert the guarantees that hold under all failures."""
     reports = await running.reports()
-    once = [c.work_id for c in load.calls if c.work_id.startswith("file-")]
-    assert checks.double_runs(reports, once) == []
+    run_once_ids = [
+        call.work_id for call in load.calls if call.work_id.startswith("file-")
+    ]
+    assert checks.double_runs(reports, run_once_ids) == []
     assert checks.false_not_run(reports, load.calls) == []
     assert checks.wrong_answers(load.calls) == []
     assert checks.calls_without_result(load.calls) == []
@@ -149,7 +159,7 @@
 
 
 def count_outcomes(load: Load) -> dict[str, int]:
-    """Return how many callers got each kind of result."""
+    """Return the number of calls by the name of their result."""
     outcomes: dict[str, int] = {}
     for call in load.calls:
         name = call.result.name
--- a/tests/system/recorder.py
+++ b/tests/system/recorder.py
@@ -4,8 +4,8 @@
 import re
 
 READ_TIMEOUT_S = 10.0
-# What differs between runs, and what to show in its place.
-VOLATILE = [
+# Text that differs between runs, and its replacement.
+MASKS = [
     (re.compile(r"127\.0\.0\.1:\d+"), "ADDRESS:PORT"),
     (
         re.compile(r"Samphirelug-Deadline-Ms: \d+"),
@@ -22,20 +22,20 @@
 
 
 def mask(text: str) -> str:
-    """Replace what differs between runs."""
-    for pattern, replacement in VOLATILE:
+    """Replace the text that differs between runs."""
+    for pattern, replacement in MASKS:
         text = pattern.sub(replacement, text)
     return text
 
 
-def note(session: list[str], title: str, data: bytes) -> None:
-    """Add one message to a session's record."""
+def record_message(session: list[str], title: str, data: bytes) -> None:
+    """Add a message to the record of a session."""
     text = mask(data.decode("latin-1")).replace("\r\n", "\n")
     session.append(f"--- {title}\n{text}")
 
 
 class RecordingServer:
-    """Answer health probes, and requests with prepared bytes."""
+    """Answer health probes, and all other requests with prepared bytes."""
 
     def __init__(self, *, session: list[str]) -> None:
         self.session = session
@@ -61,23 +61,27 @@
                 % (len(content), content)
             )
         else:
-            note(self.session, "entry host to backend server", head + body)
+            record_message(
+                self.session, "entry host to backend server", head + body
+            )
             answer = self.answers.pop(0)
-            note(self.session, "backend server to entry host", answer)
+            record_message(
+                self.session, "backend server to entry host", answer
+            )
             writer.write(answer)
         await writer.drain()
         writer.close()
 
 
 async def exchange(session: list[str], port: int, request: bytes) -> bytes:
-    """Send bytes as a caller and return and record what comes back."""
+    """Send a caller's request, record the messages and return the body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    note(session, "caller to entry host", request)
+    record_message(session, "caller to entry host", request)
     writer.write(request)
     async with asyncio.timeout(READ_TIMEOUT_S):
         head = await reader.readuntil(b"\r\n\r\n")
         length = re.search(rb"Content-Length: (\d+)", head)
         body = await reader.readexactly(int(length[1])) if length else b""
     writer.close()
-    note(session, "entry host to caller", head + body)
+    record_message(session, "entry host to caller", head + body)
     return body
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -16,7 +16,7 @@
 
 Code = result_codes.ResultCode
 IN_FORCE_S = 4.0
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 
 
 def run_fleet(scenario: Callable[[fleet.Fleet], Awaitable[None]]) -> None:
@@ -31,7 +31,7 @@
 
 
 async def set_store_faults(running: fleet.Fleet, **faults: Any) -> None:
-    """Set the faults of the store's stand-in; others are cleared."""
+    """Set faults of the fake store; the other ones keep their values."""
     await running.post_json(f"{running.store_url}/control/faults", faults)
 
 
@@ -46,24 +46,29 @@
 
 
 async def apply(
-    running: fleet.Fleet, path: str, *words: str
+    running: fleet.Fleet, path: str, *arguments: str
 ) -> tuple[int, str, str]:
     """Run the command that applies a file."""
     return await running.command(
-        "catalogue", "apply", path, "--store-url", running.store_url, *words
+        "catalogue",
+        "apply",
+        path,
+        "--store-url",
+        running.store_url,
+        *arguments,
     )
 
 
 def host_flags(running: fleet.Fleet) -> list[str]:
     """Return the flags that name every entry host."""
     return [
-        word
+        argument
         for name in running.hosts
-        for word in ("--entry-host-url", running.operator_url(name))
+        for argument in ("--entry-host-url", running.operator_url(name))
     ]
 
 
-async def current_region(running: fleet.Fleet) -> dict[str, Any]:
+async def stored_region(running: fleet.Fleet) -> dict[str, Any]:
     """Return the stored object of the region that the tests change."""
     return await running.get_json(
         f"{running.store_url}/v1/objects/catalogue/region/tartu"
@@ -77,7 +82,7 @@
 
 
 def test_change_is_in_force_on_every_host() -> None:
-    """Guards against a change that is called in force and is not."""
+    """Guards against a change that is reported as in force and is not."""
 
     async def scenario(running: fleet.Fleet) -> None:
         path = await write_region(running, max_in_flight=7)
@@ -90,7 +95,7 @@
             *host_flags(running),
         )
         assert code == 0, (out, err)
-        revision = (await current_region(running))["revision"]
+        revision = (await stored_region(running))["revision"]
         for name in running.hosts:
             status = await running.get_json(
                 f"{running.operator_url(name)}/v1/status"
@@ -101,7 +106,7 @@
 
 
 def test_paused_host_is_named_as_lagging() -> None:
-    """Guards against "in force" that is assumed and not observed."""
+    """Guards against a change reported as in force despite a lagging host."""
 
     async def scenario(running: fleet.Fleet) -> None:
         running.signal("eh-tartu", signal.SIGSTOP)
@@ -121,39 +126,45 @@
 
 
 def test_two_operators_get_one_conflict() -> None:
-    """Guards against a change that another one overwrites silently."""
+    """Guards against a change that silently overwrites another one."""
 
     async def scenario(running: fleet.Fleet) -> None:
         paths = [
             await write_region(running, max_in_flight=limit)
             for limit in (7, 8)
         ]
-        before = await current_region(running)
-        # Both read before either writes: the first write waits for the other.
+        before = await stored_region(running)
+        # The store holds the first write until the second arrives, so that
+        # both operators read before either write takes effect.
         await set_store_faults(running, gather_writes=2)
-        results = await asyncio.gather(*(apply(running, p) for p in paths))
+        results = await asyncio.gather(
+            *(apply(running, path) for path in paths)
+        )
         await set_store_faults(running)
         codes = sorted(code for code, _, _ in results)
         assert codes == [0, Code.CATALOGUE_CONFLICT.exit_code], results
-        loser = next(r for r in results if r[0])
-        assert "7" in loser[2] + loser[1]
-        assert "8" in loser[2] + loser[1]
-        after = await current_region(running)
+        refused = next(result for result in results if result[0])
+        assert "7" in refused[2] + refused[1]
+        assert "8" in refused[2] + refused[1]
+        after = await stored_region(running)
         assert after["revision"] > before["revision"]
 
     run_fleet(scenario)
 
 
-def test_lost_answer_means_success_once() -> None:
-    """Guards against a conflict with oneself and a second version."""
+def test_write_with_lost_answer_is_applied_once() -> None:
+    """Guards against a lost answer that causes a conflict or a second write.
+
+    The command cannot tell whether its write took effect, and tries again.
+    """
 
     async def scenario(running: fleet.Fleet) -> None:
         path = await write_region(running, max_in_flight=7)
-        before = await current_region(running)
+        before = await stored_region(running)
         await set_store_faults(running, lose_answers=1)
         code, out, err = await apply(running, path)
         assert code == 0, (out, err)
-        after = await current_region(running)
+        after = await stored_region(running)
         assert after["value"]["entry"]["max_in_flight"] == 7
         assert after["value"]["change_id"] != before["value"]["change_id"]
         assert out.count("applied") == 1
@@ -161,16 +172,16 @@
     run_fleet(scenario)
 
 
-def test_stranger_is_turned_away() -> None:
-    """Guards against a process without the secret that joins the mesh."""
+def test_host_with_wrong_secret_cannot_join() -> None:
+    """Guards against a host without the cluster secret in the mesh."""
 
     async def scenario(running: fleet.Fleet) -> None:
         await running.start_host("eh-tartu-2", wait=False)
         url = running.operator_url("eh-tartu")
         metrics = ""
-        # The stranger tries to join once its process has started.
+        # The host tries to join once its process has started.
         while "peer_unauthenticated" not in metrics:
-            await harness.TIMER.sleep(POLL_S)
+            await harness.TIMER.sleep(POLL_INTERVAL_S)
             metrics = await running.get_text(f"{url}/metrics")
             assert "eh-tartu-2" not in await peer_names(running, url)
         await harness.TIMER.sleep(3)
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -1,4 +1,4 @@
-"""Test the promises with real processes that are killed, paused and cut."""
+"""Test the guarantees with processes that are killed, paused or faulty."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -12,9 +12,10 @@
 from tests.system import harness
 
 WORKS = ["file-claim", "case-status", "case-export"]
-LEASE_S = 3.0
-# The brief allows a few seconds; the design takes 3.
-LEAVING_S = 3.0
+SEAT_LEASE_S = 3.0
+# Time after which a leaving server gets no new work. The requirement is a few
+# seconds; the design sets 3.
+LEAVING_GRACE_S = 3.0
 
 
 def run_fleet(
@@ -36,15 +37,15 @@
 
 
 def test_region_is_shared_by_its_own_hosts_only() -> None:
-    """Guards against shares that sit at hosts of other regions."""
+    """Guards against quota shares that hosts of other regions hold."""
 
     async def scenario(running: fleet.Fleet) -> None:
         async def holds_all() -> bool:
             status = await running.get_json(
                 f"{running.operator_url('eh-tartu')}/v1/status"
             )
-            rooms: list[dict[str, object]] = status["headroom"]
-            return rooms == [
+            headroom: list[dict[str, object]] = status["headroom"]
+            return headroom == [
                 {
                     "region": "tartu",
                     "service": "filing",
@@ -53,7 +54,9 @@
                 }
             ]
 
-        await running.wait_until(holds_all, what="all units of the region")
+        await running.wait_until(
+            holds_all, what="eh-tartu to hold all units of its region"
+        )
 
     run_fleet(scenario)
 
@@ -73,16 +76,16 @@
         await running.start_host("eh-tallinn", wait=False)
         await sending
         await load.wait()
-        await harness.check_promises(running, load)
+        await harness.check_guarantees(running, load)
         outcomes = harness.count_outcomes(load)
         assert outcomes["OK"] > 0.8 * len(load.calls), outcomes
 
-    # Long requests, so that the kill meets some that are being run.
+    # Long requests, so that some are in progress at the time of the kill.
     run_fleet(scenario, service_s=0.5)
 
 
 def test_pause_longer_than_the_lease() -> None:
-    """Guards against a holder that dispatches under a lapsed lease."""
+    """Guards against a host that dispatches under an expired lease."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=2)
@@ -91,22 +94,22 @@
         )
         await harness.TIMER.sleep(2)
         running.signal("eh-tallinn", signal.SIGSTOP)
-        await harness.TIMER.sleep(LEASE_S + 2)
+        await harness.TIMER.sleep(SEAT_LEASE_S + 2)
         running.signal("eh-tallinn", signal.SIGCONT)
         await sending
         await load.wait()
-        await harness.check_promises(running, load)
+        await harness.check_guarantees(running, load)
         outcomes = harness.count_outcomes(load)
         assert outcomes["OK"] > 0.6 * len(load.calls), outcomes
 
-    run_fleet(scenario, flags=["--seat-lease-s", str(LEASE_S)])
+    run_fleet(scenario, flags=["--seat-lease-s", str(SEAT_LEASE_S)])
 
 
-def test_planned_stop_under_load_cuts_off_nothing() -> None:
-    """Guards against requests that a planned stop cuts off or refuses.
+def test_planned_stop_under_load_interrupts_nothing() -> None:
+    """Guards against requests that a planned stop interrupts or refuses.
 
-    Requests run longer than the stop's last margin, and callers use
-    look-up answers that they got before the stop.
+    Requests run longer than LEAVING_MARGIN_S, the last wait before the stop
+    refuses new work, and callers use look-up answers from before the stop.
     """
 
     async def scenario(running: fleet.Fleet) -> None:
@@ -119,7 +122,7 @@
         assert await running.wait_exit("eh-tallinn") == 0
         await sending
         await load.wait()
-        await harness.check_promises(running, load)
+        await harness.check_guarantees(running, load)
         outcomes = harness.count_outcomes(load)
         assert outcomes == {"OK": len(load.calls)}
 
@@ -127,7 +130,7 @@
 
 
 def test_tokens_issued_before_a_planned_stop_are_served() -> None:
-    """Guards against a stop that ends before kept tokens have been used.
+    """Guards against a stop that ends before issued tokens have been used.
 
     The requests start after the stop has begun and are still running when
     the entry host begins to refuse.
@@ -142,41 +145,41 @@
             place="tallinn-a",
             timer_service=harness.TIMER,
         )
-        found = [await client.look_up("file-claim") for _ in range(4)]
+        lookups = [await client.look_up("file-claim") for _ in range(4)]
         running.signal("eh-tallinn", signal.SIGTERM)
         await harness.TIMER.sleep(0.5)
         results = await asyncio.gather(
             *(
                 client.call(
                     "file-claim",
-                    lookup=each.body,
-                    work_id=str(n),
+                    lookup=lookup.body,
+                    work_id=str(number),
                     deadline_s=9.5,
                 )
-                for n, each in enumerate(found)
+                for number, lookup in enumerate(lookups)
             )
         )
-        assert [r.name for r in results] == ["OK"] * len(found)
-        assert {r.entry_host for r in results} == {"eh-tallinn"}
+        assert [result.name for result in results] == ["OK"] * len(lookups)
+        assert {result.entry_host for result in results} == {"eh-tallinn"}
         assert await running.wait_exit("eh-tallinn") == 0
         client.close()
 
     run_fleet(scenario, flags=["--lookup-keep-s", "1"])
 
 
-def test_connections_cut_by_servers() -> None:
-    """Guards against cut answers that are passed on, and double runs."""
+def test_truncated_answers_and_reset_connections() -> None:
+    """Guards against truncated answers that are passed on, and double runs."""
 
     async def scenario(running: fleet.Fleet) -> None:
-        # Each cut or reset attempt keeps its slot until its deadline, since
-        # its server may still be working: 60/s x 4 % x 5.5 s are 13 of the
-        # 24 slots. Higher rates leave no slots to serve with.
+        # Each truncated or reset attempt holds its slot until its deadline,
+        # since its server may still run it: 60/s x 4 % x 5.5 s are 13 of the
+        # 24 slots. Higher rates would leave no slots for other requests.
         for name in harness.SERVER_NAMES:
             await running.set_faults(name, cut=0.02, reset=0.02, refuse=0.1)
         load = harness.Load(running=running, seed=4)
         await load.run(works=WORKS, rate_per_s=60, seconds=5)
         await load.wait()
-        await harness.check_promises(running, load)
+        await harness.check_guarantees(running, load)
         outcomes = harness.count_outcomes(load)
         assert outcomes["OK"] > 0.5 * len(load.calls), outcomes
 
@@ -184,7 +187,7 @@
 
 
 def test_store_outage_longer_than_every_lease() -> None:
-    """Guards against service that hangs on the store or never returns."""
+    """Guards against hosts that block in an outage or do not recover."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=5)
@@ -193,27 +196,29 @@
         )
         await harness.TIMER.sleep(1)
         running.signal("store", signal.SIGSTOP)
-        await harness.TIMER.sleep(LEASE_S + 3)
+        await harness.TIMER.sleep(SEAT_LEASE_S + 3)
         running.signal("store", signal.SIGCONT)
         await sending
         await load.wait()
-        await harness.check_promises(running, load)
+        await harness.check_guarantees(running, load)
         after = harness.Load(running=running, seed=6)
 
         async def serves() -> bool:
-            after.start_one("case-status")
+            after.start_request("case-status")
             await asyncio.gather(*after.tasks)
             return after.calls[-1].result.name == "OK"
 
-        await running.wait_until(serves, what="service after the outage")
+        await running.wait_until(
+            serves, what="requests to be served after the outage"
+        )
         await after.wait()
-        await harness.check_promises(running, after)
+        await harness.check_guarantees(running, after)
 
-    run_fleet(scenario, flags=["--seat-lease-s", str(LEASE_S)])
+    run_fleet(scenario, flags=["--seat-lease-s", str(SEAT_LEASE_S)])
 
 
 def test_leaving_server_gets_no_new_work() -> None:
-    """Guards against work sent to a server after its leaving is known."""
+    """Guards against new work for a server that is known to be leaving."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=7)
@@ -221,7 +226,8 @@
             load.run(works=WORKS, rate_per_s=60, seconds=9)
         )
         await harness.TIMER.sleep(1)
-        # One says so itself, the other is only in the platform's list.
+        # One server reports that it is leaving. For the other one, only the
+        # platform's host list does.
         await running.set_faults("tallinn-a-1", leaving=True)
         await running.put_object(
             "hosts/tallinn-a",
@@ -235,7 +241,7 @@
                 ]
             },
         )
-        await harness.TIMER.sleep(LEAVING_S)
+        await harness.TIMER.sleep(LEAVING_GRACE_S)
         before = await running.reports()
         await sending
         await load.wait()
@@ -245,16 +251,16 @@
             == (before["tallinn-a-1"]["refused"])
         )
         for name in ("tallinn-a-1", "tallinn-a-2"):
-            began = len(before[name]["arrivals"]) + before[name]["in_flight"]
-            assert len(after[name]["arrivals"]) == began
-        await harness.check_promises(running, load)
+            started = len(before[name]["arrivals"]) + before[name]["in_flight"]
+            assert len(after[name]["arrivals"]) == started
+        await harness.check_guarantees(running, load)
         assert harness.count_outcomes(load) == {"OK": len(load.calls)}
 
     run_fleet(scenario)
 
 
-def test_loss_and_return_of_a_region() -> None:
-    """Guards against a shift above its cap when a whole region dies."""
+def test_loss_and_recovery_of_a_region() -> None:
+    """Guards against a shift above its cap when a whole region fails."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=8)
@@ -262,7 +268,9 @@
             load.run(works=WORKS, rate_per_s=40, seconds=12)
         )
         await harness.TIMER.sleep(2)
-        names = [n for n in harness.SERVER_NAMES if n.startswith("tartu")]
+        names = [
+            name for name in harness.SERVER_NAMES if name.startswith("tartu")
+        ]
         for name in names:
             await running.set_faults(name, refuse=1.0)
         running.signal("eh-tartu", signal.SIGKILL)
@@ -273,27 +281,27 @@
         await running.start_host("eh-tartu", wait=False)
         await sending
         await load.wait()
-        await harness.check_promises(running, load)
+        await harness.check_guarantees(running, load)
         reports = await running.reports()
-        # The cap lets some of the lost region's work through.
+        # The cap allows some of the lost region's work.
         assert checks.peak_shifted(reports, "tallinn", 1.0) > 0
-        at_home = [
+        served = [
             call
             for call in load.calls
             if call.result.name == "OK" and call.home == "tallinn"
         ]
         sent = [call for call in load.calls if call.home == "tallinn"]
-        assert len(at_home) == len(sent)
+        assert len(served) == len(sent)
 
     run_fleet(scenario)
 
 
-def test_flood_of_exports_leaves_urgent_work_alone() -> None:
+def test_flood_of_exports_does_not_displace_urgent_work() -> None:
     """Guards against urgent work that waits behind a flood of exports."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=9)
-        # The fleet's 24 slots serve 40 requests of 0.6 s a second.
+        # The fleet's 24 slots serve 40 requests of 0.6 s per second.
         flood = asyncio.create_task(
             load.run(works=["case-export"], rate_per_s=170, seconds=15)
         )
@@ -304,12 +312,12 @@
         )
         await asyncio.gather(flood, urgent)
         await load.wait()
-        await harness.check_promises(running, load)
-        others = [c for c in load.calls if "export" not in c.work_id]
-        served = [c for c in others if c.result.name == "OK"]
+        await harness.check_guarantees(running, load)
+        others = [call for call in load.calls if "export" not in call.work_id]
+        served = [call for call in others if call.result.name == "OK"]
         assert len(served) >= 0.99 * len(others)
-        exports = [c for c in load.calls if "export" in c.work_id]
-        refused = [c for c in exports if c.result.code]
+        exports = [call for call in load.calls if "export" in call.work_id]
+        refused = [call for call in exports if call.result.code]
         assert refused
         assert len(refused) < len(exports)
 
--- a/tests/system/test_sessions.py
+++ b/tests/system/test_sessions.py
@@ -1,4 +1,4 @@
-"""Compare whole sessions, byte for byte, with golden files."""
+"""Compare complete sessions, byte for byte, with golden files."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
     b"HTTP/1.1 201 Created\r\nContent-Type: text/plain\r\n"
     b"Connection: close\r\nX-Kept: yes\r\nContent-Length: 8\r\n\r\naccepted"
 )
-CUT_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this"
+TRUNCATED_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this"
 UNFRAMED_ANSWER = b"HTTP/1.1 200 OK\r\n\r\nno end can be told"
 NOT_RUN = (
     b"HTTP/1.1 503 Busy\r\nSamphirelug-Work: not-run\r\n"
@@ -43,7 +43,7 @@
         self.server = recorder.RecordingServer(session=self.record)
 
     async def start(self) -> None:
-        """Start the parts with a catalogue of one backend server."""
+        """Start the processes with a catalogue of one backend server."""
         port = fleet.free_ports(1)[0]
         self.running.server_ports["tallinn-a-1"] = port
         await self.server.start(port)
@@ -63,16 +63,16 @@
         await self.running.wait_host_ready("eh1")
 
     async def send(self, rank: int, request: bytes, *answers: bytes) -> bytes:
-        """Send a request; the server gives the answers in their order."""
+        """Send a request; the server returns the answers in their order."""
         self.server.answers.extend(answers)
         port = self.running.ports["eh1"].callers[rank]
         return await recorder.exchange(self.record, port, request)
 
 
 async def send_all(session: Session) -> None:
-    """Carry out the session that the golden file holds."""
-    found = await session.send(0, request_bytes("/v1/lookup/file-claim"))
-    token = f"Samphirelug-Run-Token: {json.loads(found)['run_token']}"
+    """Send the requests of the session that the golden file holds."""
+    lookup = await session.send(0, request_bytes("/v1/lookup/file-claim"))
+    token = f"Samphirelug-Run-Token: {json.loads(lookup)['run_token']}"
     claim = request_bytes(
         "/v1/run/file-claim/claims/7?draft=0",
         token,
@@ -83,24 +83,25 @@
         method="POST",
         body="deposit",
     )
-    # The server refuses once, runs once, and is not asked again.
+    # The server refuses the first request and runs the second. After that, the
+    # entry host returns the recorded outcome.
     await session.send(0, claim, NOT_RUN, ANSWER)
     await session.send(0, claim)
     await session.send(0, request_bytes("/v1/outcome", token))
     await session.send(
         0, request_bytes("/v1/run/file-claim/x", method="POST", body="x")
     )
-    found = await session.send(0, request_bytes("/v1/lookup/file-claim"))
-    token = f"Samphirelug-Run-Token: {json.loads(found)['run_token']}"
-    cut = request_bytes(
+    lookup = await session.send(0, request_bytes("/v1/lookup/file-claim"))
+    token = f"Samphirelug-Run-Token: {json.loads(lookup)['run_token']}"
+    truncated = request_bytes(
         "/v1/run/file-claim/x",
         token,
         "X-Request-Id: cut",
         method="POST",
         body="x",
     )
-    await session.send(0, cut, CUT_ANSWER)
-    await session.send(0, cut)
+    await session.send(0, truncated, TRUNCATED_ANSWER)
+    await session.send(0, truncated)
     status = request_bytes("/v1/run/case-status/x", "X-Request-Id: status")
     await session.send(1, status, UNFRAMED_ANSWER, ANSWER)
     await session.send(0, status)
@@ -126,7 +127,7 @@
 
 
 def test_whole_session(snapshot: assertion.SnapshotAssertion) -> None:
-    """Guards against changes of the messages that callers and servers see."""
+    """Guards against unintended changes of messages on the wire."""
 
     async def run() -> str:
         async with fleet.Fleet(hosts=HOSTS) as running:
@@ -140,5 +141,5 @@
 
 def test_masks_hide_only_what_differs() -> None:
     """Guards against a golden file that hides a changed message."""
-    kept = "X-Request-Id: claim-7\nContent-Length: 8\nRetry-After: 1"
-    assert recorder.mask(kept) == kept
+    unmasked = "X-Request-Id: claim-7\nContent-Length: 8\nRetry-After: 1"
+    assert recorder.mask(unmasked) == unmasked
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -1,4 +1,4 @@
-"""Run short seeded soaks of real entry hosts."""
+"""Run short seeded soak tests of real entry hosts."""
 
 import asyncio
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def run(seed: int, folder: pathlib.Path, *, planned_only: bool) -> list[str]:
-    """Return the broken promises of a seed."""
+    """Return the violations of guarantees in a seed."""
     report = asyncio.run(
         soak_main.soak(
             seed=seed,
@@ -27,11 +27,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_promises_hold_under_faults(seed: int, tmp_path: pathlib.Path) -> None:
-    """Guard against double runs, false refusals and mixed answers."""
+def test_guarantees_hold_under_faults(
+    seed: int, tmp_path: pathlib.Path
+) -> None:
+    """Guards against double runs, false refusals and mixed-up answers."""
     assert not run(seed, tmp_path, planned_only=False)
 
 
-def test_planned_stops_cut_off_nothing(tmp_path: pathlib.Path) -> None:
-    """Guard against requests lost in restarts, reloads and drains."""
+def test_planned_stops_interrupt_nothing(tmp_path: pathlib.Path) -> None:
+    """Guards against requests lost in restarts, reloads and drains."""
     assert not run(3, tmp_path, planned_only=True)
