--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -376,6 +376,7 @@
         run_until(arrival_s)
         if len(end_times) < slots:
             start(arrival_s, arrival_s, load)
+        # As many as the queues of the three ranks hold together.
         elif len(queue) < 1536:
             queue.append((arrival_s, load))
     run_until(duration_s)
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak: python -m standins.soak --seed 7 --seconds 20."""
+"""Run the soak test: python -m standins.soak --seed 7 --seconds 20."""
 
 import asyncio
 import collections
@@ -17,6 +17,7 @@
 from standins.soak import world as soak_world
 
 CALLERS = 12
+# Time for which callers send requests after the faults end.
 RECOVERY_S = 3.0
 
 
--- a/standins/soak/faults.py
+++ b/standins/soak/faults.py
@@ -127,7 +127,7 @@
 
 
 async def corrupt_store(world: soak_world.World, duration_s: float) -> None:
-    """Store malformed server entries and an unusable configuration."""
+    """Store malformed entries and an old or malformed configuration."""
     malformed: list[object] = [
         "cut sho",
         {"Address": 7, "Info": None},
--- a/standins/soak/proxy.py
+++ b/standins/soak/proxy.py
@@ -12,6 +12,7 @@
     def __init__(self, *, target: tuple[str, int]) -> None:
         self.target = target
         self.port = 0
+        # Time by which each block of bytes is delayed.
         self.delay_s = 0.0
         # Bytes of a direction are held back while its event is not set; "up"
         # is from the client to the target.
