--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the system on one machine; docs/measurements.md has figures."""
+"""Benchmark the system on one machine; see docs/measurements.md."""
--- a/benchmarks/baseline.py
+++ b/benchmarks/baseline.py
@@ -1,7 +1,7 @@
-"""Proxy round robin, first come first served, without shares or ranks.
+"""Proxy requests round robin, without quotas or ranks, as a baseline.
 
-It is what the measurements compare with: it speaks the callers' protocol,
-so that the same load can be sent to it.
+Benchmarks compare the system with this proxy. It speaks the protocol of
+callers, so that the same load can be sent to it.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class BaselineHost(NamedTuple):
-    """Name a proxy and its address."""
+    """Hold the location and URL of a proxy, in place of an entry host."""
 
     name: str
     availability_zone: str
@@ -32,7 +32,7 @@
 
 
 class Setup(NamedTuple):
-    """Hold what all proxies know."""
+    """Hold the configuration that all proxies share."""
 
     hosts: list[BaselineHost]
     # Addresses of the backend servers of each work entry.
@@ -45,28 +45,31 @@
 
 
 class Proxy:
-    """Share the turns and the client of one proxy process."""
+    """Hold the round-robin state and the HTTP client of a proxy process."""
 
     def __init__(self, setup: Setup) -> None:
         self.setup = setup
-        self.turns = {w: itertools.cycle(a) for w, a in setup.servers.items()}
-        self.host_turn = itertools.count()
+        self.server_cycles = {
+            work: itertools.cycle(addresses)
+            for work, addresses in setup.servers.items()
+        }
+        self.lookup_numbers = itertools.count()
         self.client = httpclient.AsyncHTTPClient(
             force_instance=True, max_clients=setup.connections
         )
 
 
 class LookupHandler(web.RequestHandler):
-    """Name all proxies, each first in its turn."""
+    """Answer look-ups with proxies, round robin."""
 
     def initialize(self, *, proxy: Proxy) -> None:
-        """Keep the shared state."""
+        """Set the proxy that all handlers share."""
         self.proxy = proxy
 
     def get(self, work: str) -> None:
         """Write the look-up answer."""
         hosts = self.proxy.setup.hosts
-        first = next(self.proxy.host_turn) % len(hosts)
+        first = next(self.proxy.lookup_numbers) % len(hosts)
         order = hosts[first:] + hosts[:first]
         self.write(
             {
@@ -78,25 +81,25 @@
 
 
 class RunHandler(web.RequestHandler):
-    """Forward a request to the next server in turn."""
+    """Forward a request to the next backend server, round robin."""
 
     def initialize(self, *, proxy: Proxy) -> None:
-        """Keep the shared state."""
+        """Set the proxy that all handlers share."""
         self.proxy = proxy
         self.task: asyncio.Task[None] | None = None
 
     def on_connection_close(self) -> None:
-        """Give up the request of a caller that has gone."""
+        """Cancel the request when the caller closes the connection."""
         if self.task is not None:
             self.task.cancel()
 
     async def post(self, work: str) -> None:
-        """Answer with what the server answers."""
+        """Forward the request and return the server's answer."""
         self.task = asyncio.current_task()
         deadline_s = (
             float(self.request.headers[const.HEADER_DEADLINE_MS]) / 1000
         )
-        address = next(self.proxy.turns[work])
+        address = next(self.proxy.server_cycles[work])
         try:
             response = await self.proxy.client.fetch(
                 httpclient.HTTPRequest(
@@ -130,12 +133,13 @@
 def main(setup: pathlib.Path, port: int) -> None:
     """Serve one proxy until it is stopped."""
 
-    # All addresses are numeric; the default resolver asks a thread.
+    # All addresses are numeric, which the default resolver would still pass
+    # to a thread.
     netutil.Resolver.configure("tornado.netutil.BlockingResolver")
-    known = SETUP.validate_json(setup.read_bytes())
+    settings = SETUP.validate_json(setup.read_bytes())
 
     async def serve() -> None:
-        proxy = Proxy(known)
+        proxy = Proxy(settings)
         arguments = {"proxy": proxy}
         application = web.Application(
             [
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Measure slopes on this machine and work out the two-year size from them.
+"""Measure how costs grow with size and extrapolate to the full size.
 
 python -m benchmarks.capacity [all|catalogue|messages|peers|seats|lookup|
 store|traffic|faults]. docs/CAPACITY.md explains the figures.
@@ -44,41 +44,42 @@
 from standins.simulation import peers as fleet
 from standins.simulation import steering as fakes
 
-NODES = 6700
+# The full size, which is expected in two years.
+HOSTS = 6700
 ZONES = 218
 REGIONS = 55
 SITES = 3300
 LOOKUPS_PER_S = 17_000_000
 CHANGES_PER_S = 20_000 / 86_400
-# 122 nodes a region. Every region has a link to its 12 nearest.
-HOSTS_PER_REGION = math.ceil(NODES / REGIONS)
+# 122 hosts in each region, which has links to its 12 nearest regions.
+HOSTS_PER_REGION = math.ceil(HOSTS / REGIONS)
 LINKS_PER_REGION = 12
 SITE_SIZES = (825, 1650, 3300)
 REPEATS = 7
 
 
 class Fit(NamedTuple):
-    """Hold a straight line through measured values."""
+    """Hold a linear fit of measured values."""
 
     slope: float
     intercept: float
-    # Root mean square distance from the line, as a part of the mean.
+    # Root mean square error of the fit, as a fraction of the mean value.
     residual: float
 
     def at(self, size: float) -> float:
-        """Return the value that the line has at a size."""
+        """Return the fitted value at a size."""
         return self.intercept + self.slope * size
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Return the line of least squares."""
+    """Return the least-squares line."""
     slope, intercept = numpy.polyfit(sizes, values, 1)
-    off = numpy.polyval((slope, intercept), sizes) - numpy.array(values)
-    residual = float(numpy.sqrt((off**2).mean()) / numpy.mean(values))
+    errors = numpy.polyval((slope, intercept), sizes) - numpy.array(values)
+    residual = float(numpy.sqrt((errors**2).mean()) / numpy.mean(values))
     return Fit(float(slope), float(intercept), residual)
 
 
-def show(
+def print_fit(
     title: str,
     sizes: Sequence[float],
     values: Sequence[float],
@@ -86,7 +87,7 @@
     unit: str,
     target: float,
 ) -> Fit:
-    """Print the values, their line, and its value at the target size."""
+    """Print the values, their fit, and its value at the target size."""
     line = fit(sizes, values)
     pairs = ", ".join(
         f"{size:g}: {value:.4g}"
@@ -100,22 +101,24 @@
     return line
 
 
-def cost_ms(action: Callable[[], object], *, loops: int = 1) -> float:
-    """Return the median processor time of one call, in ms."""
+def cpu_time_ms(action: Callable[[], object], *, loops: int = 1) -> float:
+    """Return the median CPU time of one call, in ms."""
     times = []
     for _ in range(REPEATS):
-        started = time.process_time_ns()
+        started_ns = time.process_time_ns()
         for _ in range(loops):
             action()
-        times.append((time.process_time_ns() - started) / loops / 1e6)
+        times.append((time.process_time_ns() - started_ns) / loops / 1e6)
     return statistics.median(times)
 
 
-def make_entries(sites: int, *, spread: bool = False) -> list[schema.Entry]:
+def make_entries(
+    sites: int, *, any_region: bool = False
+) -> list[schema.Entry]:
     """Return a catalogue in which each site is a service with a work entry.
 
-    A site's two servers are in one region. With spread, any region may
-    serve its work.
+    The two servers of a site are in one region. With any_region, all regions
+    may serve the work of a site.
     """
     names = [f"r{number:02}" for number in range(REGIONS)]
     entries: list[schema.Entry] = []
@@ -138,69 +141,75 @@
         work = builders.make_work(
             service, work_class=core.WorkClass.STATUS, service=service
         )
-        if not spread:
+        if not any_region:
             work["regions"] = [name]
         entries.append(work)
     return entries
 
 
-def store(entries: list[schema.Entry], first: int = 1) -> store_model.Listing:
-    """Return entries as the store lists them."""
+def make_listing(
+    entries: list[schema.Entry], first_revision: int = 1
+) -> store_model.Listing:
+    """Return entries as the store lists them, with ascending revisions."""
     objects = tuple(
         store_model.StoredObject(
             catalogue_codec.PREFIX + schema.entry_key(entry),
-            first + number,
+            first_revision + number,
             catalogue_codec.encode_body(change_id=f"c{number}", entry=entry),
         )
         for number, entry in enumerate(entries)
     )
-    return store_model.Listing(first + len(objects), objects)
+    return store_model.Listing(first_revision + len(objects), objects)
 
 
-def loaded_state(
+def make_state(
     entries: list[schema.Entry],
 ) -> catalogue_state.CatalogueState:
-    """Return a state that holds the entries."""
+    """Return a catalogue state that holds the entries."""
     state = catalogue_state.CatalogueState()
-    state.apply_listing(store(entries))
+    state.apply_listing(make_listing(entries))
     return state
 
 
 def measure_catalogue() -> None:
-    """Measure state, one change, and limits against the number of sites."""
-    memory, load, change, derive, adopt, delta = [], [], [], [], [], []
+    """Measure catalogue state, a change and limits by number of sites."""
+    memory, load, change, derive, set_limits, delta = [], [], [], [], [], []
     for sites in SITE_SIZES:
         entries = make_entries(sites)
-        listing = store(entries)
+        listing = make_listing(entries)
         gc.collect()
         tracemalloc.start()
-        held = catalogue_state.CatalogueState()
-        held.apply_listing(listing)
+        state = catalogue_state.CatalogueState()
+        state.apply_listing(listing)
         gc.collect()
         memory.append(tracemalloc.get_traced_memory()[0] / 1e6)
         tracemalloc.stop()
-        load.append(cost_ms(partial(loaded_listing, listing)))
-        change.append(cost_ms(partial(apply_change, held, entries[-1])))
-        view = held.view
-        derive.append(cost_ms(partial(derive_limits, view)))
-        known = limits.quota_limits(view)
-        book = ledger.QuotaLedger(timer=timer_helper.ManualTimerService())
-        adopt.append(cost_ms(partial(book.set_limits, known)))
-        delta.append(cost_ms(partial(held.delta_since, held.position)))
+        load.append(cpu_time_ms(partial(load_listing, listing)))
+        change.append(cpu_time_ms(partial(apply_change, state, entries[-1])))
+        view = state.view
+        derive.append(cpu_time_ms(partial(derive_uncached_limits, view)))
+        quota_limits = limits.quota_limits(view)
+        quota_ledger = ledger.QuotaLedger(
+            timer=timer_helper.ManualTimerService()
+        )
+        set_limits.append(
+            cpu_time_ms(partial(quota_ledger.set_limits, quota_limits))
+        )
+        delta.append(cpu_time_ms(partial(state.delta_since, state.position)))
     rows = (
         ("catalogue memory", memory, "MB"),
         ("load a full listing", load, "ms"),
         ("apply one change", change, "ms"),
         ("quota_limits", derive, "ms"),
-        ("QuotaLedger.set_limits", adopt, "ms"),
+        ("QuotaLedger.set_limits", set_limits, "ms"),
         ("empty delta_since", delta, "ms"),
     )
-    made = {
-        title: show(title, SITE_SIZES, values, unit=unit, target=SITES)
+    fits = {
+        title: print_fit(title, SITE_SIZES, values, unit=unit, target=SITES)
         for title, values, unit in rows
     }
-    each = sum(
-        made[title].at(SITES)
+    change_ms = sum(
+        fits[title].at(SITES)
         for title in (
             "apply one change",
             "quota_limits",
@@ -208,23 +217,24 @@
         )
     )
     print(
-        f"  a change costs a host {each:.1f} ms, at {CHANGES_PER_S:.2f}/s "
-        f"{each * CHANGES_PER_S / 10:.2f} % of a core"
+        f"  a change costs a host {change_ms:.1f} ms, at "
+        f"{CHANGES_PER_S:.2f}/s "
+        f"{change_ms * CHANGES_PER_S / 10:.2f} % of a core"
     )
     sizes = (55, 110, 220)
-    spread = [
-        cost_ms(
+    any_region_costs = [
+        cpu_time_ms(
             partial(
-                derive_limits,
-                loaded_state(make_entries(size, spread=True)).view,
+                derive_uncached_limits,
+                make_state(make_entries(size, any_region=True)).view,
             )
         )
         for size in sizes
     ]
-    show(
+    print_fit(
         "quota_limits, work served by any region",
         sizes,
-        spread,
+        any_region_costs,
         unit="ms",
         target=SITES,
     )
@@ -233,30 +243,30 @@
 def apply_change(
     state: catalogue_state.CatalogueState, entry: schema.Entry
 ) -> None:
-    """Apply one change as a watch brings it."""
+    """Apply one change as a watch delivers it."""
     after = state.position
-    state.apply_watch(store([entry], after + 1), after)
+    state.apply_watch(make_listing([entry], after + 1), after)
 
 
-def build_answer(planner: lookup.LookupPlanner) -> None:
-    """Build an answer that is not kept."""
+def build_uncached_answer(planner: lookup.LookupPlanner) -> None:
+    """Build a look-up answer that is not cached."""
     planner.cache.clear()
     planner.answer(work="case-status", place="tallinn-a")
 
 
-def derive_limits(view: catalogue_view.CatalogueView) -> None:
-    """Derive limits that are not kept yet."""
+def derive_uncached_limits(view: catalogue_view.CatalogueView) -> None:
+    """Derive quota limits that are not cached."""
     limits.quota_limits.cache_clear()
     limits.quota_limits(view)
 
 
-def loaded_listing(listing: store_model.Listing) -> None:
-    """Load a full listing into a new state."""
+def load_listing(listing: store_model.Listing) -> None:
+    """Load a full listing into a new catalogue state."""
     catalogue_state.CatalogueState().apply_listing(listing)
 
 
 def measure_messages() -> None:
-    """Measure size and cost of heartbeats, positions, summaries, deltas."""
+    """Measure size and CPU time of heartbeats, relayed items and deltas."""
     sizes = (0, 6, 12, 24)
     rows: dict[str, list[float]] = {}
     for changed in sizes:
@@ -264,7 +274,7 @@
             fleet.heartbeat_bytes(regions=4, services=6, changed=changed)
         )
     host = fleet.SimulatedHost(host=builders.make_host("eh-0001"))
-    beats = [
+    heartbeats = [
         host.heartbeat(number * 0.5)._replace(
             queued=(number % 9, 0, 0),
             headroom=tuple(
@@ -275,41 +285,43 @@
         for number in range(500)
     ]
     encoder = codec.SparseEncoder()
-    started = time.process_time()
-    frames = [encoder.encode(beat) for beat in beats]
-    middle = time.process_time()
+    started_s = time.process_time()
+    frames = [encoder.encode(heartbeat) for heartbeat in heartbeats]
+    encoded_s = time.process_time()
     decoder = codec.SparseDecoder()
     for frame in frames:
         decoder.decode(frame).unwrap()
-    ended = time.process_time()
+    decoded_s = time.process_time()
     print(
         f"busy heartbeat, 6 amounts: encode "
-        f"{(middle - started) / 500 * 1e6:.1f} us, decode "
-        f"{(ended - middle) / 500 * 1e6:.1f} us"
+        f"{(encoded_s - started_s) / 500 * 1e6:.1f} us, decode "
+        f"{(decoded_s - encoded_s) / 500 * 1e6:.1f} us"
     )
-    show(
+    print_fit(
         "heartbeat, by changed amounts",
         sizes,
         rows["heartbeat, by changed amounts"],
         unit="bytes",
         target=6,
     )
-    beat = host.heartbeat(1.0)
-    zone = beat.host.zone
-    summary = model.ZoneSummary(zone, 9, 9_000_000, (), 0, 31, (beat, beat))
-    objects = loaded_state(make_entries(100)).delta_since(0).objects
+    heartbeat = host.heartbeat(1.0)
+    zone = heartbeat.host.zone
+    summary = model.ZoneSummary(
+        zone, 9, 9_000_000, (), 0, 31, (heartbeat, heartbeat)
+    )
+    objects = make_state(make_entries(100)).delta_since(0).objects
     counts = (10, 50, 218)
-    makers: tuple[tuple[str, Callable[[int], model.Message]], ...] = (
+    messages: tuple[tuple[str, Callable[[int], model.Message]], ...] = (
         (
             "positions",
-            lambda n: model.Relayed(
+            lambda count: model.Relayed(
                 (),
                 (
                     model.ZonePositions(
                         9_000_000,
                         tuple(
-                            model.ZoneEpoch(4_000_000_000 + k, 50)
-                            for k in range(n)
+                            model.ZoneEpoch(4_000_000_000 + index, 50)
+                            for index in range(count)
                         ),
                     ),
                 ),
@@ -320,30 +332,32 @@
         ),
         (
             "summaries",
-            lambda n: model.Relayed((), (), (summary,) * n, 9, 9),
+            lambda count: model.Relayed((), (), (summary,) * count, 9, 9),
         ),
         (
             "delta of objects",
-            lambda n: model.CatalogueReply(
-                catalogue_model.CatalogueDelta(0, 9, objects[-n:])
+            lambda count: model.CatalogueReply(
+                catalogue_model.CatalogueDelta(0, 9, objects[-count:])
             ),
         ),
     )
-    for title, make in makers:
+    for title, make_message in messages:
         size, encode, decode = [], [], []
         for count in counts:
-            message = make(count)
+            message = make_message(count)
             data = codec.encode(message)
             size.append(float(len(data)))
-            encode.append(cost_ms(partial(codec.encode, message), loops=20))
-            decode.append(cost_ms(partial(codec.decode, data), loops=20))
-        show(f"{title}, size", counts, size, unit="bytes", target=ZONES)
-        show(f"{title}, encode", counts, encode, unit="ms", target=ZONES)
-        show(f"{title}, decode", counts, decode, unit="ms", target=ZONES)
+            encode.append(
+                cpu_time_ms(partial(codec.encode, message), loops=20)
+            )
+            decode.append(cpu_time_ms(partial(codec.decode, data), loops=20))
+        print_fit(f"{title}, size", counts, size, unit="bytes", target=ZONES)
+        print_fit(f"{title}, encode", counts, encode, unit="ms", target=ZONES)
+        print_fit(f"{title}, decode", counts, decode, unit="ms", target=ZONES)
 
 
-def make_nodes(count: int) -> list[core.EntryHost]:
-    """Return hosts in zones of 31 and regions of four zones."""
+def make_hosts(count: int) -> list[core.EntryHost]:
+    """Return entry hosts in zones of 31 hosts and regions of four zones."""
     return [
         builders.make_host(f"eh-{number:04}")._replace(
             zone=core.AvailabilityZone(
@@ -356,41 +370,45 @@
 
 
 def measure_peers() -> None:
-    """Measure the planning of peers against the number of nodes."""
+    """Measure membership and peer planning by number of hosts."""
     sizes = (700, 2000, 6700)
-    candidates, first, again, listed, memory = [], [], [], [], []
+    candidates, plan, unavailable, set_listed, memory = [], [], [], [], []
     for size in sizes:
-        hosts = make_nodes(size)
+        hosts = make_hosts(size)
         gc.collect()
         tracemalloc.start()
-        known = membership.Membership(own=hosts[0])
-        known.set_listed(hosts[1:], now=0.0)
+        members = membership.Membership(own=hosts[0])
+        members.set_listed(hosts[1:], now=0.0)
         memory.append(tracemalloc.get_traced_memory()[0] / 1e6)
         tracemalloc.stop()
         own = topology.Node(hosts[0].name, hosts[0].zone)
-        candidates.append(cost_ms(partial(known.candidates, now=1.0)))
-        nodes = known.candidates(now=1.0)
-        first.append(cost_ms(partial(topology.make_plan, own, nodes)))
+        candidates.append(cpu_time_ms(partial(members.candidates, now=1.0)))
+        nodes = members.candidates(now=1.0)
+        plan.append(cpu_time_ms(partial(topology.make_plan, own, nodes)))
         for host in hosts[1:51]:
-            beat = fleet.SimulatedHost(host=host).heartbeat(1.0)
-            known.record_heartbeat(beat, now=1.0)
-        again.append(cost_ms(partial(known.unavailable, now=1.0), loops=20))
-        listed.append(cost_ms(partial(known.set_listed, hosts, now=1.0)))
+            heartbeat = fleet.SimulatedHost(host=host).heartbeat(1.0)
+            members.record_heartbeat(heartbeat, now=1.0)
+        unavailable.append(
+            cpu_time_ms(partial(members.unavailable, now=1.0), loops=20)
+        )
+        set_listed.append(
+            cpu_time_ms(partial(members.set_listed, hosts, now=1.0))
+        )
     for title, values, unit in (
         ("candidates", candidates, "ms"),
-        ("make_plan", first, "ms"),
-        ("look for changes before planning", again, "ms"),
-        ("set_listed", listed, "ms"),
+        ("make_plan", plan, "ms"),
+        ("look for changes before planning", unavailable, "ms"),
+        ("set_listed", set_listed, "ms"),
         ("memory of the membership", memory, "MB"),
     ):
-        show(title, sizes, values, unit=unit, target=NODES)
+        print_fit(title, sizes, values, unit=unit, target=HOSTS)
 
 
 def measure_seats() -> None:
-    """Measure one look at a seat table against hosts of the group."""
+    """Measure one check of a seat table by number of hosts in the group."""
     sizes = (31, 61, 122, 244)
-    view = loaded_state(make_entries(SITES)).view
-    known = {
+    view = make_state(make_entries(SITES)).view
+    region_limits = {
         key: limit.limit
         for key, limit in limits.quota_limits(view).items()
         if limit.group == "region/r00"
@@ -406,25 +424,29 @@
                     f"{host}-1",
                     f"ws://127.0.0.1:1/{host}",
                     7,
-                    seats.fair_share(limits=known, host=host, hosts=hosts),
-                    known,
+                    seats.fair_share(
+                        limits=region_limits, host=host, hosts=hosts
+                    ),
+                    region_limits,
                 )
                 for host in hosts
             },
         )
         value = seats.encode_table(table)
-        one = "eh-0000"
+        host_name = "eh-0000"
 
-        share = partial(seats.fair_share, limits=known, host=one, hosts=hosts)
+        share = partial(
+            seats.fair_share, limits=region_limits, host=host_name, hosts=hosts
+        )
         plan = partial(
             seats.plan_seat,
             table=table,
-            host=one,
-            incarnation=f"{one}-1",
+            host=host_name,
+            incarnation=f"{host_name}-1",
             address="",
             renewal=8,
             fair_shares=share(),
-            limits=known,
+            limits=region_limits,
             units_in_use={},
             expired=frozenset(),
             leaving=False,
@@ -435,64 +457,70 @@
             ("plan_seat", plan),
             ("encode_table", partial(seats.encode_table, table)),
         ):
-            rows.setdefault(title, []).append(cost_ms(action))
-    print(f"keys of the group: {len(known)}")
+            rows.setdefault(title, []).append(cpu_time_ms(action))
+    print(f"keys of the group: {len(region_limits)}")
     for title, values in rows.items():
-        show(title, sizes, values, unit="ms", target=HOSTS_PER_REGION)
+        print_fit(title, sizes, values, unit="ms", target=HOSTS_PER_REGION)
 
 
 def measure_lookup() -> None:
-    """Measure the cost of an answer against live hosts."""
+    """Measure the CPU time of a look-up answer by number of live hosts."""
     sizes = (40, 160, 500)
     built, cached, signed = [], [], []
     for size in sizes:
         clock = timer_helper.ManualTimerService(start_s=100.0)
         mesh = fakes.FakeMesh(timer=clock)
-        hosts = [
+        heartbeats = [
             fleet.SimulatedHost(
-                host=builders.make_host(f"eh{n}", zone="tallinn-a")
+                host=builders.make_host(f"eh{number}", zone="tallinn-a")
             ).heartbeat(1.0)
-            for n in range(size)
+            for number in range(size)
         ]
-        mesh.heartbeats = hosts[1:]
+        mesh.heartbeats = heartbeats[1:]
         planner = lookup.LookupPlanner(
             catalogue=harness.Catalogue(builders.make_view()),
             mesh=mesh,
             issuer=tokens.TokenIssuer(secret="s" * 32, timer=clock),
-            own_heartbeat=partial(hosts.__getitem__, 0),
+            own_heartbeat=partial(heartbeats.__getitem__, 0),
             timer=clock,
         )
 
-        ask = partial(planner.answer, place="tallinn-a")
-        built.append(cost_ms(partial(build_answer, planner), loops=5))
-        cached.append(cost_ms(partial(ask, work="case-status"), loops=1000))
-        signed.append(cost_ms(partial(ask, work="file-claim"), loops=200))
+        answer = partial(planner.answer, place="tallinn-a")
+        built.append(
+            cpu_time_ms(partial(build_uncached_answer, planner), loops=5)
+        )
+        cached.append(
+            cpu_time_ms(partial(answer, work="case-status"), loops=1000)
+        )
+        signed.append(
+            cpu_time_ms(partial(answer, work="file-claim"), loops=200)
+        )
     for title, values in (
         ("answer, built", built),
         ("answer, cached", cached),
         ("answer, cached, with a run token", signed),
     ):
-        show(title, sizes, values, unit="ms", target=ZONES * 2 + 33)
-    print(f"{LOOKUPS_PER_S / NODES:.0f} look-ups/s a node when spread evenly")
+        print_fit(title, sizes, values, unit="ms", target=ZONES * 2 + 33)
+    print(f"{LOOKUPS_PER_S / HOSTS:.0f} look-ups/s a node when spread evenly")
 
 
 def measure_store() -> None:
-    """Print store calls a second at several sizes of fleet."""
+    """Print store calls per second by number of hosts."""
     capacity_store.report(
         groups=1 + LINKS_PER_REGION, changes_per_s=CHANGES_PER_S
     )
 
 
 def measure_traffic() -> None:
-    """Simulate control traffic between hosts."""
+    """Simulate the control traffic between hosts by number of hosts."""
     for size in (700, 2000, 6700):
         fleet.measure(size, seconds=9.0, rng=random.Random(1))
 
 
 def measure_faults() -> None:
-    """Simulate faults at three sizes."""
+    """Simulate faults by number of hosts."""
     sizes = (372, 744, 1488)
-    for title, run in (
+    for title, simulate in (
         ("zone lost: sighting s", capacity_faults.lose_zone),
         (
             "regions cut: bytes/s in it, after it, sighting s",
@@ -500,11 +528,14 @@
         ),
         ("host restarted: bytes, s", capacity_faults.restart_host),
     ):
-        results = [run(size) for size in sizes]
+        results = [simulate(size) for size in sizes]
         for number, values in enumerate(zip(*results, strict=True)):
-            show(f"{title} [{number}]", sizes, values, unit="", target=NODES)
+            print_fit(
+                f"{title} [{number}]", sizes, values, unit="", target=HOSTS
+            )
 
 
+# Measurements by the name given on the command line.
 PARTS: dict[str, Callable[[], None]] = {
     "catalogue": measure_catalogue,
     "messages": measure_messages,
@@ -518,7 +549,7 @@
 
 
 def main(part: Annotated[str, typer.Argument()] = "all") -> None:
-    """Run one part of the measurements, or all."""
+    """Run one group of measurements, or all."""
     for name, measure in PARTS.items():
         if part in ("all", name):
             print(f"== {name}")
--- a/benchmarks/capacity_store.py
+++ b/benchmarks/capacity_store.py
@@ -1,4 +1,4 @@
-"""Work out calls to the object store from the intervals in the code."""
+"""Compute calls to the object store from the intervals in the code."""
 
 import asyncio
 import math
@@ -12,20 +12,22 @@
 from standins.simulation import quota as simulation
 
 SETTINGS = quota_model.SeatSettings()
-# The look interval is drawn between 0.8 and 1.0 of renew_interval_s.
+# The renewal interval is drawn between 0.8 and 1.0 of renew_interval_s.
 RENEWALS_PER_S = 1 / (SETTINGS.renew_interval_s * 0.9)
+# Rates of the object store that the results are compared with.
 READS_PER_S = 2000
 WRITES_PER_S = 500
-# Groups of a simulated host: its region, the link, and the other region,
+# Seat groups of a simulated host: its region, the link, and the other region,
 # which has no hosts.
 SEAT_GROUPS = 3
 
 
 def catalogue_watchers(size: int) -> int:
-    """Count the hosts that follow the store by the rule of CatalogueSync.
+    """Return the number of hosts that watch the catalogue in the store.
 
-    A host that is not a watcher of the mesh hears its zone's two watchers
-    only, so it ranks itself among three names.
+    Applies the rule of CatalogueSync. A host that is not a watcher of the
+    mesh is connected only to the two watchers of its zone, so that it ranks
+    itself among three names.
     """
     count = 0
     for start in range(0, size, fleet.HOSTS_PER_ZONE):
@@ -33,33 +35,46 @@
         names = [f"eh-{n:04}" for n in range(start, start + 31) if n < size]
         watchers = topology.watchers_of(zone, names)
         for name in names:
-            heard = names if name in watchers else {name, *watchers}
-            ranked = rendezvous.rank_names(key=zone, names=heard)
+            known = names if name in watchers else {name, *watchers}
+            ranked = rendezvous.rank_names(key=zone, names=known)
             count += name in ranked[: sync.WATCHERS_PER_ZONE]
     return count
 
 
-def calls_of_seats(hosts: int) -> tuple[int, int, int, int]:
-    """Return calls and writes of a start at once, and of the next 1,200 s."""
+def seat_calls(hosts: int) -> tuple[int, int, int, int]:
+    """Return store calls and writes for seats.
+
+    The first two are those of 60 s in which all hosts start at once, the
+    others those of the next 1,200 s.
+    """
 
     async def run() -> tuple[int, int, int, int]:
-        sim = simulation.QuotaSimulation(seed=1, settings=SETTINGS)
+        quota_simulation = simulation.QuotaSimulation(
+            seed=1, settings=SETTINGS
+        )
         for number in range(hosts):
-            sim.start(f"eh{number}", "tallinn-a")
-        await sim.run(60.0)
-        start = sim.calls, sim.writes
-        await sim.run(1200.0)
-        for host in sim.hosts.values():
+            quota_simulation.start(f"eh{number}", "tallinn-a")
+        await quota_simulation.run(60.0)
+        start_counts = quota_simulation.calls, quota_simulation.writes
+        await quota_simulation.run(1200.0)
+        for host in quota_simulation.hosts.values():
             host.kill()
-        return *start, sim.calls - start[0], sim.writes - start[1]
+        return (
+            *start_counts,
+            quota_simulation.calls - start_counts[0],
+            quota_simulation.writes - start_counts[1],
+        )
 
     return asyncio.run(run())
 
 
 def report(*, groups: int, changes_per_s: float) -> None:
-    """Print calls a second by kind and size of fleet."""
+    """Print calls per second by kind and number of hosts.
+
+    groups is the number of seat groups of a host.
+    """
     for hosts in (3, 6, 12):
-        calls, writes, calls_after, writes_after = calls_of_seats(hosts)
+        calls, writes, calls_after, writes_after = seat_calls(hosts)
         count = hosts * SEAT_GROUPS
         print(
             f"seats of {hosts} hosts in {SEAT_GROUPS} groups: start at once "
@@ -70,7 +85,7 @@
         watchers = catalogue_watchers(size)
         zones = math.ceil(size / fleet.HOSTS_PER_ZONE)
         mesh_watchers = 2 * zones
-        # A watch ends at a change or at its time limit.
+        # A watch ends at the first change or at its timeout.
         interval_s = (
             1 - math.exp(-changes_per_s * sync.WATCH_TIMEOUT_S)
         ) / changes_per_s
@@ -92,6 +107,8 @@
             f" ({groups} groups a host), only the region's group "
             f"{size * RENEWALS_PER_S:.0f}/s"
         )
+        # The hosts are in 55 regions. The group of a link has the hosts of two
+        # regions, which spread their calls over twice the time.
         spread_s = SETTINGS.spread_per_host_s * size / 55
         peak = size / spread_s + size * (groups - 1) / (2 * spread_s)
         print(
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -1,4 +1,4 @@
-"""Start a deployment of examples/ on loopback and send load to it."""
+"""Run a deployment of examples/ on loopback and send load to it."""
 
 import asyncio
 from collections.abc import Iterable
@@ -22,12 +22,13 @@
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 TIMER = timer.LoopTimerService()
 CALLERS_PER_GENERATOR = 12
-# A process this busy is taken as the bound of a measurement.
+# CPU use from which on a process counts as the bottleneck of a measurement.
 BUSY_CORES = 0.9
-LATE_S = 0.05
-# Time that generators get to start before the first request is due.
-LEAD_S = 4.0
-# One generator sends some 200 new connections/s before its loop is late.
+# 99th percentile of lateness above which a generator counts as one.
+MAX_LATENESS_S = 0.05
+# Time for the generators to start before the first request is due.
+START_DELAY_S = 4.0
+# A generator opens some 200 connections/s before its event loop falls behind.
 GENERATORS_PER_REGION = 2
 RANK_OF_CLASS = {
     "filing": "urgent",
@@ -41,20 +42,23 @@
 RANKS = ("urgent", "interactive", "export")
 
 
-def load_rank(name: str) -> core.Rank:
+def rank_with_label(label: str) -> core.Rank:
     """Return the rank with a label."""
-    return next(rank for rank in core.Rank if rank.label == name)
+    return next(rank for rank in core.Rank if rank.label == label)
 
 
 class Usage(NamedTuple):
-    """Hold processor time of all processes at a moment."""
+    """Hold the CPU time that each process has used up to a moment."""
 
     at_s: float
     seconds: dict[str, float]
 
 
 class Deployment:
-    """Run one deployment's servers and entry hosts as processes."""
+    """Run the servers and entry hosts of a deployment as processes.
+
+    With with_baseline, baseline proxies run in place of the entry hosts.
+    """
 
     def __init__(
         self,
@@ -70,9 +74,13 @@
         self.service_s = service_s
         self.with_baseline = with_baseline
         self.entries: list[dict[str, Any]] = list(yaml.safe_load_all(text))
-        self.regions = {e["name"]: e for e in self.of_kind("region")}
-        self.works = {e["name"]: e for e in self.of_kind("work")}
-        self.services = {e["name"]: e for e in self.of_kind("backend-service")}
+        self.regions = {
+            entry["name"]: entry for entry in self.of_kind("region")
+        }
+        self.works = {entry["name"]: entry for entry in self.of_kind("work")}
+        self.services = {
+            entry["name"]: entry for entry in self.of_kind("backend-service")
+        }
         self.region_of_zone: dict[str, str] = {
             zone: region
             for region, entry in self.regions.items()
@@ -83,7 +91,8 @@
             for service in self.services.values()
             for server in service["servers"]
         }
-        # Zone a of each region first, so that hosts spread evenly.
+        # Zone a of each region comes first, so that hosts are spread evenly
+        # over the regions.
         zones = sorted(self.region_of_zone, key=lambda zone: zone[-1])
         self.hosts = [
             fleet.HostLocation(
@@ -93,22 +102,22 @@
             )
             for index in range(hosts)
         ]
-        self.running = fleet.Fleet(hosts=self.hosts, host_flags=host_flags)
-        self.usages: list[Usage] = []
-        self.generators = 0
-        # What servers saw that have been killed since.
-        self.kept: checks.Reports = {}
+        self.fleet = fleet.Fleet(hosts=self.hosts, host_flags=host_flags)
+        self.usage_samples: list[Usage] = []
+        self.generators_started = 0
+        # Reports of servers that have been killed since.
+        self.saved_reports: checks.Reports = {}
 
     def of_kind(self, kind: str) -> list[dict[str, Any]]:
         """Return the catalogue entries of a kind."""
-        return [e for e in self.entries if e["kind"] == kind]
+        return [entry for entry in self.entries if entry["kind"] == kind]
 
     def rank_of(self, work: str) -> str:
         """Return the rank of a work entry."""
         return RANK_OF_CLASS[str(self.works[work]["work_class"])]
 
     def region_of_server(self, name: str) -> str:
-        """Return the region that a backend server stands in."""
+        """Return the region of a backend server."""
         zone = str(self.servers[name]["availability_zone"])
         return self.region_of_zone[zone]
 
@@ -125,35 +134,39 @@
         return self.slots(service, region) / self.service_s
 
     async def __aenter__(self) -> "Deployment":
-        """Start everything and wait until all entry hosts serve."""
-        await self.running.__aenter__()
+        """Start all processes and wait until the entry hosts are ready."""
+        await self.fleet.__aenter__()
         for region in self.regions:
             await self.start_servers(region)
         for server in self.servers.values():
-            port = self.running.server_ports[server["name"]]
+            port = self.fleet.server_ports[server["name"]]
             server["address"] = f"127.0.0.1:{port}"
         if self.with_baseline:
             await self._start_baseline()
             return self
         await asyncio.gather(
             *(
-                self.running.start_host(place.name, wait=False)
-                for place in self.hosts
+                self.fleet.start_host(host.name, wait=False)
+                for host in self.hosts
             )
         )
         await self.apply(self.entries, "--wait")
-        for place in self.hosts:
-            await self.running.wait_host_ready(place.name)
+        for host in self.hosts:
+            await self.fleet.wait_host_ready(host.name)
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        """Kill what still runs."""
-        await self.running.__aexit__(*error)
+        """Kill the processes that still run."""
+        await self.fleet.__aexit__(*error)
 
     async def start_servers(self, region: str) -> None:
-        """Start the process with all backend servers of a region."""
-        names = [n for n in self.servers if self.region_of_server(n) == region]
-        await self.running.start_servers(
+        """Start one process with all backend servers of a region."""
+        names = [
+            name
+            for name in self.servers
+            if self.region_of_server(name) == region
+        ]
+        await self.fleet.start_servers(
             f"servers-{region}",
             names,
             module="benchmarks.workers",
@@ -162,31 +175,31 @@
         )
 
     async def apply(self, entries: list[dict[str, Any]], *flags: str) -> float:
-        """Apply catalogue entries; return the seconds it took."""
-        directory = pathlib.Path(self.running.directory.name)
+        """Apply catalogue entries; return how long it took in seconds."""
+        directory = pathlib.Path(self.fleet.directory.name)
         document = directory / "catalogue.yaml"
         document.write_text(yaml.safe_dump_all(entries))
-        words = [
-            word
-            for place in self.hosts
-            for word in (
+        url_flags = [
+            argument
+            for host in self.hosts
+            for argument in (
                 "--entry-host-url",
-                self.running.operator_url(place.name),
+                self.fleet.operator_url(host.name),
             )
         ]
         started_s = TIMER.monotonic()
-        code, out, err = await self.running.command(
+        code, out, err = await self.fleet.command(
             "catalogue",
             "apply",
             str(document),
             "--store-url",
-            self.running.store_url,
+            self.fleet.store_url,
             *flags,
-            *(words if "--wait" in flags else ()),
+            *(url_flags if "--wait" in flags else ()),
         )
         if code != 0:
             raise RuntimeError(
-                f"catalogue apply ended with {code}: {out}{err}"
+                f"catalogue apply exited with code {code}: {out}{err}"
             )
         return TIMER.monotonic() - started_s
 
@@ -199,83 +212,91 @@
         split: dict[str, float] | None = None,
         lookup_hosts: list[str] | None = None,
     ) -> list[load.Record]:
-        """Send streams from all regions; rates are those of all together.
+        """Send streams of requests from all regions and return the records.
 
-        Each region sends the part that split gives it.
+        Rates are totals over all regions. split gives the fraction that each
+        region sends; by default they are equal.
         """
-        at_s = start_at_s or TIMER.monotonic() + LEAD_S
-        directory = pathlib.Path(self.running.directory.name)
-        parts = split or {r: 1 / len(self.regions) for r in self.regions}
+        at_s = start_at_s or TIMER.monotonic() + START_DELAY_S
+        directory = pathlib.Path(self.fleet.directory.name)
+        fractions = split or {
+            region: 1 / len(self.regions) for region in self.regions
+        }
         names = []
-        shares = [
-            (region, share, part / GENERATORS_PER_REGION)
-            for region, part in parts.items()
-            for share in range(GENERATORS_PER_REGION)
+        generators = [
+            (region, index, fraction / GENERATORS_PER_REGION)
+            for region, fraction in fractions.items()
+            for index in range(GENERATORS_PER_REGION)
         ]
-        for region, share, part in shares:
-            self.generators += 1
-            name = f"load-{self.generators}"
+        for region, index, fraction in generators:
+            self.generators_started += 1
+            name = f"load-{self.generators_started}"
             plan = load.Plan(
                 places=self.regions[region]["availability_zones"],
                 lookup_urls=[
-                    self.running.caller_url(n)
-                    for n in lookup_hosts or self._nearest(region)
+                    self.fleet.caller_url(host)
+                    for host in lookup_hosts or self._nearest_hosts(region)
                 ],
                 callers=CALLERS_PER_GENERATOR,
-                seed=seed * GENERATORS_PER_REGION + share,
+                seed=seed * GENERATORS_PER_REGION + index,
                 start_at_s=at_s,
                 streams=[
-                    s._replace(rate_per_s=s.rate_per_s * part) for s in streams
+                    stream._replace(rate_per_s=stream.rate_per_s * fraction)
+                    for stream in streams
                 ],
             )
             (directory / f"{name}.plan").write_bytes(load.PLAN.dump_json(plan))
-            await self.running.start_module(
+            await self.fleet.start_module(
                 name,
                 "benchmarks.load",
                 str(directory / f"{name}.plan"),
                 str(directory / f"{name}.json"),
             )
             names.append(name)
-        sampler = asyncio.get_running_loop().create_task(self._sample())
+        sampler = asyncio.get_running_loop().create_task(self._sample_usage())
         records: list[load.Record] = []
         for name in names:
-            if await self.running.wait_exit(name):
-                raise RuntimeError(f"{name}: {self.running.log_text(name)}")
-            written = (directory / f"{name}.json").read_bytes()
-            records += load.OUTCOME.validate_json(written).records
+            if await self.fleet.wait_exit(name):
+                raise RuntimeError(
+                    f"{name} failed: {self.fleet.log_text(name)}"
+                )
+            outcome = (directory / f"{name}.json").read_bytes()
+            records += load.OUTCOME.validate_json(outcome).records
         sampler.cancel()
         return records
 
-    async def check(self, records: Iterable[load.Record]) -> dict[str, int]:
-        """Count what broke a promise, by what servers and callers saw."""
+    async def count_violations(
+        self, records: Iterable[load.Record]
+    ) -> dict[str, int]:
+        """Count violated guarantees in records of servers and callers."""
         reports = await self.reports()
         calls = [
             checks.Call(
-                each.work_id,
+                record.work_id,
                 "",
                 caller.CallResult(
-                    each.status,
-                    each.code,
-                    each.name,
-                    each.effect,
+                    record.status,
+                    record.code,
+                    record.name,
+                    record.effect,
                     {},
-                    each.entry_host,
-                    each.seconds,
+                    record.entry_host,
+                    record.seconds,
                     1,
                 ),
                 "",
             )
-            for each in records
-            # An earlier attempt at repeatable work may have run; the refusal
-            # speaks of the last one only.
-            if each.once or (each.attempts <= 1 and not each.repeats)
+            for record in records
+            # A refusal concerns the last attempt only; an earlier attempt at
+            # repeatable work may have run.
+            if record.once or (record.attempts <= 1 and not record.repeats)
         ]
-        once = [each.work_id for each in records if each.once]
+        once = [record.work_id for record in records if record.once]
         regions_over = shifts_over = 0
         for region, entry in self.regions.items():
             cap = entry["shift_cap"]
-            most = checks.peak_in_flight(reports, region)
-            regions_over += most > entry["max_in_flight"]
+            peak = checks.peak_in_flight(reports, region)
+            regions_over += peak > entry["max_in_flight"]
             shifted = checks.peak_shifted(reports, region, cap["interval_s"])
             shifts_over += shifted > cap["requests"]
         return {
@@ -284,62 +305,68 @@
             "shift caps passed": shifts_over,
             "double runs": len(checks.double_runs(reports, once)),
             "false not run": len(checks.false_not_run(reports, calls)),
-            "cut or wrong answers": sum(each.wrong for each in records),
-            "no answer": sum(each.status == 0 for each in records),
+            "cut or wrong answers": sum(record.wrong for record in records),
+            "no answer": sum(record.status == 0 for record in records),
         }
 
     async def reports(self) -> checks.Reports:
-        """Return what each server saw, by region and name."""
-        found: checks.Reports = dict(self.kept)
-        for name, port in self.running.server_ports.items():
+        """Return the report of each server by REGION/NAME."""
+        reports: checks.Reports = dict(self.saved_reports)
+        for name, port in self.fleet.server_ports.items():
             with contextlib.suppress(OSError):
-                found[
+                reports[
                     f"{self.region_of_server(name)}/{name}"
-                ] = await self.running.get_json(
+                ] = await self.fleet.get_json(
                     f"http://127.0.0.1:{port}/control"
                 )
-        return found
+        return reports
 
-    async def keep_reports(self, region: str) -> None:
-        """Keep the reports of servers that are about to be killed."""
+    async def save_reports(self, region: str) -> None:
+        """Save the reports of a region's servers before they are killed."""
         for name, report in (await self.reports()).items():
             if name.startswith(f"{region}/"):
-                self.kept[f"{name}, killed"] = report
-
-    def busiest(self) -> dict[str, float]:
-        """Return the most cores that each kind of process used in a second."""
-        most: dict[str, float] = {}
-        for before, after in zip(self.usages, self.usages[1:], strict=False):
+                self.saved_reports[f"{name}, killed"] = report
+
+    def peak_cores(self) -> dict[str, float]:
+        """Return the peak CPU use, in cores, of any process of each kind."""
+        peaks: dict[str, float] = {}
+        for before, after in zip(
+            self.usage_samples, self.usage_samples[1:], strict=False
+        ):
             for name, seconds in after.seconds.items():
                 used = seconds - before.seconds.get(name, seconds)
                 cores = used / (after.at_s - before.at_s)
                 kind = name.split("-")[0]
-                most[kind] = max(most.get(kind, 0.0), cores)
-        return most
+                peaks[kind] = max(peaks.get(kind, 0.0), cores)
+        return peaks
 
-    def _nearest(self, region: str) -> list[str]:
-        near = [p.name for p in self.hosts if p.region == region]
-        return near + [p.name for p in self.hosts if p.region != region]
+    def _nearest_hosts(self, region: str) -> list[str]:
+        local = [host.name for host in self.hosts if host.region == region]
+        return local + [
+            host.name for host in self.hosts if host.region != region
+        ]
 
-    async def _sample(self) -> None:
+    async def _sample_usage(self) -> None:
         while True:
             seconds = {}
-            for name, process in self.running.processes.items():
+            for name, process in self.fleet.processes.items():
                 if process.returncode is None:
                     with contextlib.suppress(OSError):
-                        seconds[name] = path_benchmark.processor_s(process.pid)
-            self.usages.append(Usage(TIMER.monotonic(), seconds))
+                        seconds[name] = path_benchmark.cpu_time_s(process.pid)
+            self.usage_samples.append(Usage(TIMER.monotonic(), seconds))
             await TIMER.sleep(1.0)
 
     async def _start_baseline(self) -> None:
-        directory = pathlib.Path(self.running.directory.name)
-        connections = sum(s["connections"] for s in self.servers.values())
+        directory = pathlib.Path(self.fleet.directory.name)
+        connections = sum(
+            server["connections"] for server in self.servers.values()
+        )
         setup = baseline.Setup(
             hosts=[
                 baseline.BaselineHost(
-                    *place, url=self.running.caller_url(place.name)
+                    *host, url=self.fleet.caller_url(host.name)
                 )
-                for place in self.hosts
+                for host in self.hosts
             ],
             servers={
                 name: [
@@ -352,34 +379,41 @@
             },
             connections=connections // len(self.hosts),
         )
-        written = directory / "baseline.setup"
-        written.write_text(json.dumps(baseline.SETUP.dump_python(setup)))
-        for place in self.hosts:
-            port = self.running.ports[place.name].callers[0]
-            await self.running.start_module(
-                place.name,
+        setup_path = directory / "baseline.setup"
+        setup_path.write_text(json.dumps(baseline.SETUP.dump_python(setup)))
+        for host in self.hosts:
+            port = self.fleet.ports[host.name].callers[0]
+            await self.fleet.start_module(
+                host.name,
                 "benchmarks.baseline",
-                str(written),
+                str(setup_path),
                 str(port),
                 wait_ready=True,
             )
 
 
-def show_bounds(
+def print_bottlenecks(
     deployment: Deployment, records: Iterable[load.Record]
 ) -> None:
-    """Say whether a process of the measurement was the bound."""
-    late = load.percentiles([max(0.0, r.late_s) for r in records])
-    cores = deployment.busiest()
+    """Print which processes limited the measurement, if any."""
+    lateness = load.percentiles(
+        [max(0.0, record.late_s) for record in records]
+    )
+    cores = deployment.peak_cores()
     shown = ", ".join(f"{kind} {used:.2f}" for kind, used in cores.items())
     print(f"  busiest second, cores of one process: {shown}")
-    print(f"  generator late: p99 {late['99']:.1f} ms")
-    if late["99"] > LATE_S * 1000 or cores.get("load", 0.0) > BUSY_CORES:
+    print(f"  generator late: p99 {lateness['99']:.1f} ms")
+    if (
+        lateness["99"] > MAX_LATENESS_S * 1000
+        or cores.get("load", 0.0) > BUSY_CORES
+    ):
         print("  THE GENERATOR WAS THE BOUND in part of this run")
     if cores.get("eh", 0.0) > BUSY_CORES:
         print("  AN ENTRY HOST'S LOOP WAS THE BOUND in part of this run")
 
 
-def show_checks(counts: dict[str, int]) -> None:
-    """Print the counts of broken promises."""
-    print("  " + ", ".join(f"{name} {n}" for name, n in counts.items()))
+def print_violations(counts: dict[str, int]) -> None:
+    """Print the counts of violated guarantees."""
+    print(
+        "  " + ", ".join(f"{name} {count}" for name, count in counts.items())
+    )
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -13,76 +13,77 @@
 TIMER = deployment_module.TIMER
 LOAD_S = 50.0
 DRAINED_SERVERS = 4
-WATCH_S = 6.0
+OBSERVATION_S = 6.0
 POLL_S = 0.05
 
 
 class Drain(NamedTuple):
-    """Hold what a leaving server saw after its first sign."""
+    """Hold the requests that reached a server after its drain began."""
 
     server: str
-    # Seconds to the last new request; 0.0 if there was none.
-    last_s: float
+    # Seconds until the last new request; 0.0 if there was none.
+    last_request_s: float
     requests: int
 
 
 async def drain_server(
-    place: deployment_module.Deployment, name: str
+    deployment: deployment_module.Deployment, name: str
 ) -> Drain:
-    """Let a server leave and watch what still reaches it.
+    """Drain a server and count the requests that still reach it.
 
-    A leaving server refuses new work, and counts it.
+    A server that is leaving refuses new requests and counts them.
     """
-    port = place.running.server_ports[name]
+    port = deployment.fleet.server_ports[name]
     url = f"http://127.0.0.1:{port}/control"
-    before = (await place.running.get_json(url))["refused"]
-    await place.running.set_faults(name, leaving=True)
+    refused_before = (await deployment.fleet.get_json(url))["refused"]
+    await deployment.fleet.set_faults(name, leaving=True)
     started_s = TIMER.monotonic()
-    last_s = 0.0
-    seen = before
-    while TIMER.monotonic() - started_s < WATCH_S:
+    last_request_s = 0.0
+    refused = refused_before
+    while TIMER.monotonic() - started_s < OBSERVATION_S:
         await TIMER.sleep(POLL_S)
-        now = (await place.running.get_json(url))["refused"]
-        if now > seen:
-            seen = now
-            last_s = TIMER.monotonic() - started_s
-    return Drain(name, last_s, seen - before)
+        current = (await deployment.fleet.get_json(url))["refused"]
+        if current > refused:
+            refused = current
+            last_request_s = TIMER.monotonic() - started_s
+    return Drain(name, last_request_s, refused - refused_before)
 
 
 async def measure(name: str, hosts: int, seed: int, service_s: float) -> None:
     """Drain servers one after the other, then stop an entry host."""
     async with deployment_module.Deployment(
         name=name, hosts=hosts, service_s=service_s
-    ) as place:
+    ) as deployment:
+        # Wait for the end of the servers' slow start (ramp_s).
         await TIMER.sleep(11.0)
         streams = [
             load.Stream(
                 "steady",
                 work,
-                place.rank_of(work),
-                0.3 * place.capacity(entry["backend_service"]),
+                deployment.rank_of(work),
+                0.3 * deployment.capacity(entry["backend_service"]),
                 0.0,
                 LOAD_S,
                 entry["deadline_s"],
             )
-            for work, entry in place.works.items()
+            for work, entry in deployment.works.items()
         ]
-        start_at_s = TIMER.monotonic() + deployment_module.LEAD_S
+        start_at_s = TIMER.monotonic() + deployment_module.START_DELAY_S
         task = asyncio.create_task(
-            place.run_load(streams, seed=seed, start_at_s=start_at_s)
+            deployment.run_load(streams, seed=seed, start_at_s=start_at_s)
         )
         await TIMER.sleep(5.0)
-        names = sorted(place.servers)
-        step = len(names) // DRAINED_SERVERS
+        names = sorted(deployment.servers)
+        stride = len(names) // DRAINED_SERVERS
         drains = [
-            await drain_server(place, names[index * step])
+            await drain_server(deployment, names[index * stride])
             for index in range(DRAINED_SERVERS)
         ]
-        stopped = place.hosts[0].name
+        stopped_host = deployment.hosts[0].name
         stop_s = TIMER.monotonic()
-        place.running.signal(stopped, signal.SIGTERM)
-        code = await place.running.wait_exit(stopped)
-        seconds = TIMER.monotonic() - stop_s
+        deployment.fleet.signal(stopped_host, signal.SIGTERM)
+        code = await deployment.fleet.wait_exit(stopped_host)
+        stop_duration_s = TIMER.monotonic() - stop_s
         records = await task
         print(
             f"{name}, {hosts} entry hosts, seed {seed}, service time "
@@ -92,39 +93,44 @@
         for drain in drains:
             print(
                 f"  {drain.server} leaves: last new request after "
-                f"{drain.last_s:.2f} s, {drain.requests} requests after the "
-                f"first sign"
+                f"{drain.last_request_s:.2f} s, {drain.requests} requests "
+                f"after the first sign"
             )
         print(
-            f"  planned stop of {stopped}: exit code {code} after "
-            f"{seconds:.1f} s"
+            f"  planned stop of {stopped_host}: exit code {code} after "
+            f"{stop_duration_s:.1f} s"
         )
         for rank in deployment_module.RANKS:
-            mine = [r for r in records if r.rank == rank]
+            rank_records = [
+                record for record in records if record.rank == rank
+            ]
             before = [
-                r.seconds
-                for r in mine
-                if r.due_s < stop_s - start_at_s and r.status == 200
+                record.seconds
+                for record in rank_records
+                if record.due_s < stop_s - start_at_s and record.status == 200
             ]
             during = [
-                r.seconds
-                for r in mine
-                if 0 <= r.due_s - (stop_s - start_at_s) < seconds
-                and r.status == 200
+                record.seconds
+                for record in rank_records
+                if 0 <= record.due_s - (stop_s - start_at_s) < stop_duration_s
+                and record.status == 200
             ]
-            other = collections.Counter(
-                r.name for r in mine if r.status != 200
+            failures = collections.Counter(
+                record.name for record in rank_records if record.status != 200
             )
             p99 = [
-                load.percentiles(x or [0.0])["99"] for x in (before, during)
+                load.percentiles(seconds or [0.0])["99"]
+                for seconds in (before, during)
             ]
             print(
-                f"  {rank:12} sent {len(mine)}, not answered "
-                f"{dict(other)}, p99 before the stop {p99[0]:.0f} ms, "
+                f"  {rank:12} sent {len(rank_records)}, not answered "
+                f"{dict(failures)}, p99 before the stop {p99[0]:.0f} ms, "
                 f"during it {p99[1]:.0f} ms"
             )
-        deployment_module.show_bounds(place, records)
-        deployment_module.show_checks(await place.check(records))
+        deployment_module.print_bottlenecks(deployment, records)
+        deployment_module.print_violations(
+            await deployment.count_violations(records)
+        )
 
 
 def main(
@@ -133,7 +139,7 @@
     seed: int = 1,
     service_s: float = 0.3,
 ) -> None:
-    """Measure drain times under load."""
+    """Measure drains and a planned stop under load."""
     asyncio.run(measure(deployment, hosts, seed, service_s))
 
 
--- a/benchmarks/headroom.py
+++ b/benchmarks/headroom.py
@@ -1,4 +1,4 @@
-"""Measure how much of the limits is usable, evenly and at one host."""
+"""Measure the usable part of limits, for even load and at one host."""
 
 import asyncio
 
@@ -10,164 +10,198 @@
 
 TIMER = deployment_module.TIMER
 STEP_S = 4.0
-PARTS = [0.6, 0.7, 0.8, 0.85, 0.9, 0.93, 0.96, 1.0, 1.05, 1.1]
+LOAD_FRACTIONS = [0.6, 0.7, 0.8, 0.85, 0.9, 0.93, 0.96, 1.0, 1.05, 1.1]
 ONE_HOST_S = 15.0
 
 
-def in_flight(
+def mean_in_flight(
     reports: checks.Reports, region: str, from_s: float, until_s: float
 ) -> float:
-    """Return the mean of requests in flight in a region, as servers saw."""
+    """Return the mean requests in flight at a region's servers."""
     busy_s: float = sum(
-        max(0.0, min(a["ended_at_s"], until_s) - max(a["at_s"], from_s))
+        max(
+            0.0,
+            min(arrival["ended_at_s"], until_s) - max(arrival["at_s"], from_s),
+        )
         for name, report in reports.items()
         if name.startswith(f"{region}/")
-        for a in report["arrivals"]
+        for arrival in report["arrivals"]
     )
     return busy_s / (until_s - from_s)
 
 
-async def measure_even(place: deployment_module.Deployment, seed: int) -> None:
-    """Raise an even load step by step until something is refused."""
-    works = place.works.items()
+async def measure_even(
+    deployment: deployment_module.Deployment, seed: int
+) -> None:
+    """Raise an even load in steps and find the first refusal."""
+    works = deployment.works.items()
     streams = []
-    for step, part in enumerate(PARTS):
+    for step, fraction in enumerate(LOAD_FRACTIONS):
         for name, work in works:
             service = work["backend_service"]
-            sharing = [w for _, w in works if w["backend_service"] == service]
+            service_works = [
+                entry
+                for _, entry in works
+                if entry["backend_service"] == service
+            ]
             streams.append(
                 load.Stream(
-                    f"{part:.2f}",
+                    f"{fraction:.2f}",
                     name,
-                    place.rank_of(name),
-                    part * place.capacity(service) / len(sharing),
+                    deployment.rank_of(name),
+                    fraction
+                    * deployment.capacity(service)
+                    / len(service_works),
                     step * STEP_S,
                     (step + 1) * STEP_S,
                     work["deadline_s"],
                 )
             )
-    start_at_s = TIMER.monotonic() + deployment_module.LEAD_S
-    total = sum(place.slots(s) for s in place.services)
+    start_at_s = TIMER.monotonic() + deployment_module.START_DELAY_S
+    total = sum(deployment.slots(service) for service in deployment.services)
     split = {
-        region: sum(place.slots(s, region) for s in place.services) / total
-        for region in place.regions
+        region: sum(
+            deployment.slots(service, region)
+            for service in deployment.services
+        )
+        / total
+        for region in deployment.regions
     }
-    records = await place.run_load(
+    records = await deployment.run_load(
         streams, seed=seed, start_at_s=start_at_s, split=split
     )
-    reports = await place.reports()
+    reports = await deployment.reports()
     print("  even load; mean in flight as part of each region's limit")
-    print(f"  {'offered':>8}  " + "".join(f"{r:>12}" for r in place.regions))
-    for step, part in enumerate(PARTS):
+    print(
+        f"  {'offered':>8}  "
+        + "".join(f"{region:>12}" for region in deployment.regions)
+    )
+    for step, fraction in enumerate(LOAD_FRACTIONS):
         from_s = start_at_s + step * STEP_S
         used = {
-            region: in_flight(reports, region, from_s, from_s + STEP_S)
+            region: mean_in_flight(reports, region, from_s, from_s + STEP_S)
             / entry["max_in_flight"]
-            for region, entry in place.regions.items()
+            for region, entry in deployment.regions.items()
         }
         refused = [
-            r for r in records if r.phase == f"{part:.2f}" and r.status != 200
+            record
+            for record in records
+            if record.phase == f"{fraction:.2f}" and record.status != 200
         ]
-        names = sorted({r.name for r in refused})
+        names = sorted({record.name for record in refused})
         print(
-            f"  {part:8.2f}  "
-            + "".join(f"{100 * u:10.1f} %" for u in used.values())
+            f"  {fraction:8.2f}  "
+            + "".join(f"{100 * usage:10.1f} %" for usage in used.values())
             + f"  refused {len(refused)} {', '.join(names)}"
         )
-    # By the time of the refusal, not by that of the arrival.
-    refusals = [r for r in records if r.status != 200]
+    # First by the time of the refusal, not by that of the request.
+    refusals = [record for record in records if record.status != 200]
     if refusals:
-        first_s = min(r.due_s + r.seconds for r in refusals)
+        first_s = min(record.due_s + record.seconds for record in refusals)
         at_s = start_at_s + first_s
-        shown = ", ".join(
-            f"{r} {100 * in_flight(reports, r, at_s - 1, at_s) / e:.1f} %"
-            for r, e in (
-                (r, e["max_in_flight"]) for r, e in place.regions.items()
+        usages = ", ".join(
+            f"{name} "
+            f"{100 * mean_in_flight(reports, name, at_s - 1, at_s) / cap:.1f}"
+            " %"
+            for name, cap in (
+                (region, entry["max_in_flight"])
+                for region, entry in deployment.regions.items()
             )
         )
         print(
-            f"  first refusal at {first_s:.1f} s; the second before: {shown}"
+            f"  first refusal at {first_s:.1f} s; the second before: {usages}"
         )
     else:
         print("  nothing was refused")
-    deployment_module.show_bounds(place, records)
+    deployment_module.print_bottlenecks(deployment, records)
 
 
 async def measure_one_host(
-    place: deployment_module.Deployment, seed: int
+    deployment: deployment_module.Deployment, seed: int
 ) -> None:
-    """Send all load of the first region to one of its entry hosts."""
-    home = next(iter(place.regions))
-    host = next(p.name for p in place.hosts if p.region == home)
+    """Send all load of the first region to one of its entry hosts.
+
+    Shows how fast that host borrows the units that the others hold.
+    """
+    home_region = next(iter(deployment.regions))
+    host_name = next(
+        host.name for host in deployment.hosts if host.region == home_region
+    )
     streams = []
-    offered = 0.0
-    for name, work in place.works.items():
-        if place.rank_of(name) != "interactive":
+    offered_per_s = 0.0
+    for name, work in deployment.works.items():
+        if deployment.rank_of(name) != "interactive":
             continue
         service = work["backend_service"]
-        offered = place.capacity(service, home)
-        rank = deployment_module.load_rank(place.rank_of(name))
+        offered_per_s = deployment.capacity(service, home_region)
+        rank = deployment_module.rank_with_label(deployment.rank_of(name))
         streams.append(
             load.Stream(
                 "one host",
                 name,
                 "interactive",
-                offered,
+                offered_per_s,
                 0.0,
                 ONE_HOST_S,
                 work["deadline_s"],
-                pinned_url=place.running.caller_url(host, rank),
+                pinned_url=deployment.fleet.caller_url(host_name, rank),
             )
         )
-    start_at_s = TIMER.monotonic() + deployment_module.LEAD_S
-    records = await place.run_load(
-        streams, seed=seed, start_at_s=start_at_s, split={home: 1.0}
+    start_at_s = TIMER.monotonic() + deployment_module.START_DELAY_S
+    records = await deployment.run_load(
+        streams, seed=seed, start_at_s=start_at_s, split={home_region: 1.0}
     )
-    reports = await place.reports()
-    slots = offered * place.service_s
+    reports = await deployment.reports()
+    slots = offered_per_s * deployment.service_s
     print(
-        f"  all load of {home} ({offered:.0f}/s, {slots:.0f} slots of the "
-        f"service) at {host} alone; in flight in {home}, as part of the slots"
+        f"  all load of {home_region} ({offered_per_s:.0f}/s, {slots:.0f} "
+        f"slots of the service) at {host_name} alone; in flight in "
+        f"{home_region}, as part of the slots"
     )
-    shown = []
+    percentages = []
     for second in range(int(ONE_HOST_S)):
         from_s = start_at_s + second
-        used = in_flight(reports, home, from_s, from_s + 1.0)
-        shown.append(f"{100 * used / slots:.0f}")
-    print(f"  by second: {' '.join(shown)} %")
+        used = mean_in_flight(reports, home_region, from_s, from_s + 1.0)
+        percentages.append(f"{100 * used / slots:.0f}")
+    print(f"  by second: {' '.join(percentages)} %")
     for step in range(int(ONE_HOST_S * 10)):
         from_s = start_at_s + step / 10
-        used = in_flight(reports, home, from_s, from_s + 0.3)
+        used = mean_in_flight(reports, home_region, from_s, from_s + 0.3)
         if used >= 0.9 * slots:
             print(f"  90 % of the slots in use after {step / 10 + 0.3:.1f} s")
             break
     else:
         print("  90 % of the slots never in use over 0.3 s")
-    answered = sum(r.status == 200 for r in records)
-    names = sorted({r.name for r in records if r.status != 200})
-    times = load.percentiles([r.seconds for r in records if r.status == 200])
+    answered = sum(record.status == 200 for record in records)
+    names = sorted({record.name for record in records if record.status != 200})
+    latencies = load.percentiles(
+        [record.seconds for record in records if record.status == 200]
+    )
     print(
-        f"  answered {answered} of {len(records)}, p50 {times['50']:.0f} ms, "
-        f"p99 {times['99']:.0f} ms; refused: {', '.join(names) or 'none'}"
+        f"  answered {answered} of {len(records)}, "
+        f"p50 {latencies['50']:.0f} ms, p99 {latencies['99']:.0f} ms; "
+        f"refused: {', '.join(names) or 'none'}"
+    )
+    deployment_module.print_bottlenecks(deployment, records)
+    deployment_module.print_violations(
+        await deployment.count_violations(records)
     )
-    deployment_module.show_bounds(place, records)
-    deployment_module.show_checks(await place.check(records))
 
 
 async def measure(name: str, hosts: int, seed: int, service_s: float) -> None:
     """Run both measurements on one deployment."""
     async with deployment_module.Deployment(
         name=name, hosts=hosts, service_s=service_s
-    ) as place:
+    ) as deployment:
         print(
             f"{name}, {hosts} entry hosts, seed {seed}, service time "
             f"{service_s} s"
         )
-        # The servers' ramps end first.
+        # Wait for the end of the servers' slow start (ramp_s).
         await TIMER.sleep(11.0)
-        await measure_even(place, seed)
+        await measure_even(deployment, seed)
         await TIMER.sleep(3.0)
-        await measure_one_host(place, seed)
+        await measure_one_host(deployment, seed)
 
 
 def main(
@@ -176,7 +210,7 @@
     seed: int = 1,
     service_s: float = 0.4,
 ) -> None:
-    """Measure usable headroom and the speed of loans."""
+    """Measure the usable part of limits and the speed of loans."""
     asyncio.run(measure(deployment, hosts, seed, service_s))
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,8 +1,8 @@
-"""Generate open-loop load from one region, as a process of its own.
+"""Generate open-loop load from one region in a process of its own.
 
 Requests start at times drawn beforehand, whether or not earlier ones have
-ended, and latencies count from those times. A generator that is late thus
-shows in its own lateness and is not hidden in fewer requests.
+ended, and latencies are measured from these times. A generator that falls
+behind thus shows in late_s of its records and does not send fewer requests.
 """
 
 import asyncio
@@ -23,13 +23,13 @@
 
 MAX_LATENCY_US = 120_000_000
 MAX_CLIENTS = 5000
-REPEATS = 20
+MAX_REPEATS = 20
 REPEAT_PAUSE_S = 0.5
 TIMER = timer.LoopTimerService()
 
 
 class Stream(NamedTuple):
-    """Describe requests of one work entry at an even mean rate."""
+    """Describe requests for one work entry at a constant mean rate."""
 
     # Label of the phase that the stream belongs to.
     phase: str
@@ -40,14 +40,15 @@
     from_s: float
     until_s: float
     deadline_s: float
-    # Entry host to send to, whatever look-ups say; empty to follow them.
+    # URL of the entry host to send to instead of those that look-ups return;
+    # empty to use the look-ups.
     pinned_url: str = ""
 
 
 class Plan(NamedTuple):
-    """Hold what one generator sends."""
+    """Describe the load that one generator sends."""
 
-    # Availability zones that the callers stand in.
+    # Availability zones of the callers.
     places: list[str]
     lookup_urls: list[str]
     callers: int
@@ -58,7 +59,7 @@
 
 
 class Record(NamedTuple):
-    """Hold what the caller of one request saw."""
+    """Hold the result of one request as its caller saw it."""
 
     phase: str
     work: str
@@ -66,7 +67,9 @@
     work_id: str
     # Seconds after the plan's start.
     due_s: float
+    # Delay of the actual start after due_s.
     late_s: float
+    # From due_s to the result.
     seconds: float
     status: int
     code: int
@@ -76,7 +79,9 @@
     # Entry hosts tried in the last repetition.
     attempts: int
     repeats: int
+    # Whether the answer is truncated or belongs to another request.
     wrong: bool
+    # Whether the work must not run more than once; it has a run token then.
     once: bool
 
 
@@ -84,7 +89,7 @@
     """Hold the results of one generator."""
 
     records: list[Record]
-    # By phase and rank: percentile to milliseconds, of answered requests.
+    # Latency percentiles of answered requests by phase and rank.
     percentiles_ms: dict[str, dict[str, float]]
 
 
@@ -92,43 +97,45 @@
 OUTCOME = pydantic.TypeAdapter(Outcome)
 
 
-class Due(NamedTuple):
-    """Say when a request is due, and of which stream."""
+class ScheduledRequest(NamedTuple):
+    """Identify a request by its stream and its number in it."""
 
+    # Seconds after the plan's start.
     at_s: float
+    # Index of the stream in the plan.
     stream: int
     number: int
 
 
-def arrivals(plan: Plan) -> list[Due]:
-    """Return Poisson arrivals of all streams in order of time."""
-    lists = []
+def schedule_requests(plan: Plan) -> list[ScheduledRequest]:
+    """Return the requests of all streams, as Poisson arrivals, by time."""
+    schedules = []
     for index, stream in enumerate(plan.streams):
         rng = random.Random(f"{plan.seed}/{plan.places}/{index}")
-        due: list[Due] = []
+        schedule: list[ScheduledRequest] = []
         at_s = stream.from_s
         while stream.rate_per_s > 0:
             at_s += rng.expovariate(stream.rate_per_s)
             if at_s >= stream.until_s:
                 break
-            due.append(Due(at_s, index, len(due)))
-        lists.append(due)
-    return list(heapq.merge(*lists))
+            schedule.append(ScheduledRequest(at_s, index, len(schedule)))
+        schedules.append(schedule)
+    return list(heapq.merge(*schedules))
 
 
 def percentiles(seconds: list[float]) -> dict[str, float]:
-    """Return the usual percentiles in milliseconds."""
+    """Return the 50th, 90th, 99th and 99.9th percentile in milliseconds."""
     latencies = histogram.HdrHistogram(1, MAX_LATENCY_US, 3)
     for each in seconds:
         latencies.record_value(max(1, int(each * 1e6)))
     return {
-        str(part): latencies.get_value_at_percentile(part) / 1000
-        for part in (50, 90, 99, 99.9)
+        str(percentile): latencies.get_value_at_percentile(percentile) / 1000
+        for percentile in (50, 90, 99, 99.9)
     }
 
 
 class Generator:
-    """Send what a plan says and keep what the callers saw."""
+    """Send the load of a plan and record the results."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -136,7 +143,7 @@
         self.records: list[Record] = []
         self.callers = []
         for index in range(plan.callers):
-            # Callers start their first look-up at different entry hosts.
+            # Callers send their look-ups to different entry hosts first.
             start = index % len(plan.lookup_urls)
             urls = plan.lookup_urls[start:] + plan.lookup_urls[:start]
             self.callers.append(
@@ -149,14 +156,14 @@
             )
 
     async def run(self) -> Outcome:
-        """Return when every request has its result."""
+        """Send all requests and return when each has its result."""
         tasks = []
         loop = asyncio.get_running_loop()
-        for due in arrivals(self.plan):
-            wait_s = self.plan.start_at_s + due.at_s - TIMER.monotonic()
+        for scheduled in schedule_requests(self.plan):
+            wait_s = self.plan.start_at_s + scheduled.at_s - TIMER.monotonic()
             if wait_s > 0:
                 await TIMER.sleep(wait_s)
-            tasks.append(loop.create_task(self._one(due)))
+            tasks.append(loop.create_task(self._send(scheduled)))
         await asyncio.gather(*tasks)
         for client in self.callers:
             client.close()
@@ -166,16 +173,18 @@
                 key = f"{record.phase}/{record.rank}"
                 groups.setdefault(key, []).append(record.seconds)
         return Outcome(
-            self.records, {key: percentiles(x) for key, x in groups.items()}
+            self.records,
+            {key: percentiles(seconds) for key, seconds in groups.items()},
         )
 
-    async def _one(self, due: Due) -> None:
-        stream = self.plan.streams[due.stream]
-        due_at_s = self.plan.start_at_s + due.at_s
+    async def _send(self, scheduled: ScheduledRequest) -> None:
+        stream = self.plan.streams[scheduled.stream]
+        due_at_s = self.plan.start_at_s + scheduled.at_s
         late_s = TIMER.monotonic() - due_at_s
         client = self.rng.choice(self.callers)
         work_id = (
-            f"{self.plan.seed}/{self.plan.places[0]}/{due.stream}/{due.number}"
+            f"{self.plan.seed}/{self.plan.places[0]}/"
+            f"{scheduled.stream}/{scheduled.number}"
         )
         body = f"body of {work_id}"
         repeats = 0
@@ -185,9 +194,10 @@
             found = found._replace(body={**found.body, "entry_hosts": hosts})
         if found.status == 200:
             result = await self._call(client, stream, work_id, found.body)
-            # A refusal or an answer settles the request; without either the
-            # caller repeats it with the same token.
-            while repeats < REPEATS and (
+            # An answer or a refusal ends the request. Without either, the
+            # caller repeats it with the same run token; a request without
+            # a token is repeated once.
+            while repeats < MAX_REPEATS and (
                 result.status == 0 or result.name == "ATTEMPT_RUNNING"
             ):
                 if not found.body.get("run_token") and repeats:
@@ -201,7 +211,7 @@
                 work=stream.work,
                 rank=stream.rank,
                 work_id=work_id,
-                due_s=due.at_s,
+                due_s=scheduled.at_s,
                 late_s=late_s,
                 seconds=TIMER.monotonic() - due_at_s,
                 status=result.status,
@@ -234,15 +244,16 @@
             body=f"body of {work_id}",
             work_id=work_id,
             deadline_s=stream.deadline_s,
-            # Kept answers of repeatable work may have been replaced.
+            # Without a run token, the caller uses the look-up answer that it
+            # has cached, which may be more recent.
             lookup=lookup if token or stream.pinned_url else None,
         )
 
 
 def main(plan: pathlib.Path, out: pathlib.Path) -> None:
-    """Run the load of a plan file and write the results as JSON."""
-    # The default resolver asks a thread for each numeric address, which
-    # bounds a generator at some hundred requests per second.
+    """Send the load of a plan file and write the results as JSON."""
+    # The default resolver passes even numeric addresses to a thread, which
+    # limits a generator to some hundred requests per second.
     netutil.Resolver.configure("tornado.netutil.BlockingResolver")
     outcome = asyncio.run(
         Generator(PLAN.validate_json(plan.read_bytes())).run()
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,4 +1,4 @@
-"""Measure what the path adds to a request, and one entry host's rates."""
+"""Measure the latency that an entry host adds, and its request rates."""
 
 import asyncio
 import pathlib
@@ -19,7 +19,7 @@
 
 
 def new_histogram() -> histogram.HdrHistogram:
-    """Return a histogram of microseconds with three digits."""
+    """Return a histogram of microseconds with three significant digits."""
     return histogram.HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
@@ -28,18 +28,22 @@
     urls: list[str],
     *,
     count: int,
-    at_once: int,
+    concurrency: int,
     headers: dict[str, str] | None = None,
     body: str | None = None,
 ) -> tuple[histogram.HdrHistogram, float, int]:
-    """Return latencies in us, seconds in all, and answers not 200."""
+    """Send requests and return their latencies, duration and failures.
+
+    Latencies are in microseconds, the duration of all requests is in seconds.
+    Failures are answers with another status than 200.
+    """
     latencies = new_histogram()
-    numbers = iter(range(count))
+    request_numbers = iter(range(count))
     failed = 0
 
     async def worker() -> None:
         nonlocal failed
-        for number in numbers:
+        for number in request_numbers:
             started_s = TIMER.monotonic()
             response = await client.fetch(
                 httpclient.HTTPRequest(
@@ -55,25 +59,29 @@
             failed += response.code != 200
 
     started_s = TIMER.monotonic()
-    await asyncio.gather(*(worker() for _ in range(at_once)))
+    await asyncio.gather(*(worker() for _ in range(concurrency)))
     return latencies, TIMER.monotonic() - started_s, failed
 
 
 def resident_mb(process_id: int) -> float:
     """Return a process's resident memory in MB."""
     status = pathlib.Path(f"/proc/{process_id}/status").read_text()
-    line = next(x for x in status.splitlines() if x.startswith("VmRSS"))
+    line = next(
+        line for line in status.splitlines() if line.startswith("VmRSS")
+    )
     return int(line.split()[1]) / 1024
 
 
-def processor_s(process_id: int) -> float:
-    """Return the processor time that a process has used, in seconds."""
+def cpu_time_s(process_id: int) -> float:
+    """Return the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{process_id}/stat").read_text()
+    # utime and stime, in ticks of 10 ms. The name in parentheses before the
+    # other fields may contain spaces.
     after_name = fields.rpartition(")")[2].split()
     return (int(after_name[11]) + int(after_name[12])) / 100
 
 
-def show_latency(title: str, latencies: histogram.HdrHistogram) -> None:
+def print_latency(title: str, latencies: histogram.HdrHistogram) -> None:
     """Print median and p99 in milliseconds."""
     median = latencies.get_value_at_percentile(50) / 1000
     p99 = latencies.get_value_at_percentile(99) / 1000
@@ -81,83 +89,88 @@
 
 
 async def measure(requests: int, service_s: float) -> None:
-    """Run all measurements of the path."""
-    places = demo.HOSTS
-    async with fleet.Fleet(hosts=places) as running:
+    """Compare requests to backend servers with those through an entry host."""
+    hosts = demo.HOSTS
+    async with fleet.Fleet(hosts=hosts) as running:
         names = [
-            f"{z}-{i}"
-            for zs in demo.REGIONS.values()
-            for z in zs
-            for i in "12"
+            f"{zone}-{number}"
+            for zones in demo.REGIONS.values()
+            for zone in zones
+            for number in "12"
         ]
         await running.start_servers("servers", names, service_s=service_s)
         await asyncio.gather(
-            *(running.start_host(p.name, wait=False) for p in places)
+            *(running.start_host(host.name, wait=False) for host in hosts)
         )
         await demo.apply_catalogue(running)
-        for place in places:
-            await running.wait_host_ready(place.name)
+        for host in hosts:
+            await running.wait_host_ready(host.name)
         await TIMER.sleep(2.0)
-        host = places[0].name
-        process_id = running.processes[host].pid
+        host_name = hosts[0].name
+        process_id = running.processes[host_name].pid
         print(f"memory at rest {resident_mb(process_id):.1f} MB")
         client = httpclient.AsyncHTTPClient(
             force_instance=True, max_clients=100
         )
-        servers = [
+        server_urls = [
             f"http://127.0.0.1:{running.server_ports[name]}/x"
             for name in names[:4]
         ]
         rank = core.Rank.INTERACTIVE
-        path = f"{running.caller_url(host, rank)}/v1/run/case-status/x"
+        run_url = f"{running.caller_url(host_name, rank)}/v1/run/case-status/x"
         headers = {const.HEADER_HOME_REGION: "tallinn"}
-        for urls in (servers, [path]):
+        for urls in (server_urls, [run_url]):
             await time_requests(
-                client, urls, count=WARM_UP_REQUESTS, at_once=1, body="x"
+                client, urls, count=WARM_UP_REQUESTS, concurrency=1, body="x"
             )
-        for at_once in (1, 4):
+        for concurrency in (1, 4):
             direct, _, _ = await time_requests(
-                client, servers, count=requests, at_once=at_once, body="x"
+                client,
+                server_urls,
+                count=requests,
+                concurrency=concurrency,
+                body="x",
             )
             through, _, failed = await time_requests(
                 client,
-                [path],
+                [run_url],
                 count=requests,
-                at_once=at_once,
+                concurrency=concurrency,
                 headers=headers,
                 body="x",
             )
-            show_latency(f"direct, {at_once} at once", direct)
-            show_latency(f"through an entry host, {at_once}", through)
+            print_latency(f"direct, {concurrency} at once", direct)
+            print_latency(f"through an entry host, {concurrency}", through)
             for percentile in (50, 99):
                 ratio = through.get_value_at_percentile(
                     percentile
                 ) / direct.get_value_at_percentile(percentile)
                 print(f"  ratio at {percentile}: {ratio:.2f}")
             print(f"  not answered: {failed}")
-        before_s = processor_s(process_id)
+        start_cpu_s = cpu_time_s(process_id)
         _, seconds, failed = await time_requests(
             client,
-            [path],
+            [run_url],
             count=requests * 4,
-            at_once=8,
+            concurrency=8,
             headers=headers,
             body="x",
         )
-        used_s = processor_s(process_id) - before_s
+        used_s = cpu_time_s(process_id) - start_cpu_s
         print(
             f"requests {requests * 4 / seconds:.0f}/s with 8 at once, "
             f"{used_s / requests / 4 * 1e3:.2f} ms processor time each, "
             f"not answered {failed}"
         )
-        lookup = (
-            f"{running.caller_url(host)}/v1/lookup/case-status?from=tallinn"
+        lookup_url = (
+            f"{running.caller_url(host_name)}"
+            "/v1/lookup/case-status?from=tallinn"
         )
-        before_s = processor_s(process_id)
+        start_cpu_s = cpu_time_s(process_id)
         _, seconds, failed = await time_requests(
-            client, [lookup], count=requests * 4, at_once=8
+            client, [lookup_url], count=requests * 4, concurrency=8
         )
-        used_s = processor_s(process_id) - before_s
+        used_s = cpu_time_s(process_id) - start_cpu_s
         print(
             f"look-ups {requests * 4 / seconds:.0f}/s with 8 at once (the "
             f"client's loop is the bound), {used_s / requests / 4 * 1e6:.0f} "
@@ -166,7 +179,7 @@
 
 
 def main(requests: int = 500, service_s: float = 0.0) -> None:
-    """Measure the path with a number of requests for each figure."""
+    """Measure latencies and rates with a number of requests for each."""
     asyncio.run(measure(requests, service_s))
 
 
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -1,7 +1,8 @@
-"""Serve backend servers whose requests queue for a slot, as workers do.
+"""Serve fake backend servers in which requests queue for a slot.
 
-The stand-in runs any number of requests at once and reports how many. A
-comparison that does not know of slots needs them enforced here.
+The server in standins runs any number of requests at once and reports how
+many. The baseline proxy does not know the slots, so that they must be enforced
+here.
 """
 
 import asyncio
@@ -11,19 +12,21 @@
 
 from standins import backend_server
 
-_SLOTS: dict[str, asyncio.Semaphore] = {}
-_WORK = backend_server.WorkHandler._process
+_SEMAPHORES: dict[str, asyncio.Semaphore] = {}
+_PROCESS = backend_server.WorkHandler._process
 
 
-async def _work_in_slot(
+async def _process_in_slot(
     handler: backend_server.WorkHandler, faults: backend_server.Faults
 ) -> Any:
     server = handler.server
-    slots = _SLOTS.setdefault(server.name, asyncio.Semaphore(server.slots))
+    slots = _SEMAPHORES.setdefault(
+        server.name, asyncio.Semaphore(server.slots)
+    )
     async with slots:
-        await _WORK(handler, faults)
+        await _PROCESS(handler, faults)
 
 
 if __name__ == "__main__":
-    backend_server.WorkHandler._process = _work_in_slot  # type: ignore
+    backend_server.WorkHandler._process = _process_in_slot  # type: ignore
     typer.run(backend_server.main)
