--- a/src/samphirelug/components/commands/settings.py
+++ b/src/samphirelug/components/commands/settings.py
@@ -56,7 +56,7 @@
 
 
 def parse_seconds(value: Any) -> float:
-    """Return a number of seconds within the bounds for time-outs."""
+    """Return a number of seconds within the bounds for timeouts."""
     try:
         seconds = float(value)
     except ValueError:
--- a/src/samphirelug/components/directory/__init__.py
+++ b/src/samphirelug/components/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Tell callers which entry hosts to use."""
+"""Choose the entry hosts that callers are to use."""
--- a/src/samphirelug/components/execution/const.py
+++ b/src/samphirelug/components/execution/const.py
@@ -1,4 +1,4 @@
-"""Define limits and time-outs for the execution of requests."""
+"""Define limits and timeouts for the execution of requests."""
 
 # Attempts for one request, including the first one.
 MAX_ATTEMPTS = 4
@@ -35,5 +35,5 @@
 RUNNING_RETRY_AFTER_S = 1.0
 NOT_RUN_RETRY_AFTER_S = 1.0
 # Added to the deadline while waiting for a run, so that the attempt can
-# report its own time-out first.
+# report its own timeout first.
 WAIT_MARGIN_S = 0.25
--- a/src/samphirelug/components/fleet/const.py
+++ b/src/samphirelug/components/fleet/const.py
@@ -18,7 +18,7 @@
 # A monitor asks a host that has been silent this long: two beats may be lost.
 ASK_AFTER_S = 1.6
 # A host that has been silent this long is absent. Until then look-up answers
-# still list it, and its callers wait for a time-out of one second.
+# still list it, and its callers wait for a timeout of one second.
 ABSENT_AFTER_S = 2.75
 # A longer gap between two ticks means that this process was suspended. The
 # event loop of a healthy process is never delayed this long.
--- a/src/samphirelug/components/fleet/roster.py
+++ b/src/samphirelug/components/fleet/roster.py
@@ -151,8 +151,8 @@
         """Apply a received notice and return the notices to send for it."""
         if notice.name == self.own.name:
             if notice.kind == const.ABSENT:
-                # A monitor did not hear this host for a while and has reported
-                # it as absent to all hosts.
+                # A monitor received no beats from this host for a while and
+                # has reported it as absent to all hosts.
                 return [self.start_notice()]
             return []
         record = self.records.get(notice.name)
--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -202,7 +202,7 @@
     def _memory_refusal(
         self, fields: Mapping[str, str]
     ) -> result_codes.Refusal:
-        """Return a refusal whose code tells whether the work may have run."""
+        """Return a refusal; ENTRY_HOST_LOST if the work may have run."""
         code = result_codes.ResultCode.OVERLOADED
         if self._may_have_run(fields):
             code = result_codes.ResultCode.ENTRY_HOST_LOST
--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -39,7 +39,7 @@
 LARGER_NAME_DIAL_DELAY_S = 0.3
 SEND_QUEUE_MESSAGES = 512
 SEND_QUEUE_BYTES = 4 * 1024 * 1024
-# Idle time-out of a connection opened for a request to a host to which the
+# Idle timeout of a connection opened for a request to a host to which the
 # topology does not connect this one.
 ON_DEMAND_IDLE_S = 30.0
 # Rate limit on heartbeats sent early after a change of state or catalogue
--- a/src/samphirelug/components/peers/relay.py
+++ b/src/samphirelug/components/peers/relay.py
@@ -228,7 +228,7 @@
         )
         if self.watcher and build_summary:
             self._report_zone([own_heartbeat, *zone_heartbeats], now)
-        self._expire(now)
+        self._remove_expired(now)
         self._refill_budgets(now)
         names = list(self.outboxes)
         if not names:
@@ -448,7 +448,7 @@
 
     # Expiry and rate limits.
 
-    def _expire(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         expired = itertools.takewhile(
             lambda item: now - item[1] > const.SIGHTING_RETENTION_S,
             self._seen.items(),
--- a/src/samphirelug/components/store/io_transport.py
+++ b/src/samphirelug/components/store/io_transport.py
@@ -20,7 +20,7 @@
 # Lists may take longer: a whole catalogue can have many megabytes.
 LIST_TIMEOUT_S = 10.0
 MAX_CONCURRENT_CALLS = 32
-# Messages of the HTTP client's time-outs that occur before a call is sent.
+# Messages of the HTTP client's timeouts that occur before a call is sent.
 UNSENT_TIMEOUT_MESSAGES = (
     "Timeout while connecting",
     "Timeout in request queue",
--- a/tests/components/catalogue/test_sync.py
+++ b/tests/components/catalogue/test_sync.py
@@ -328,8 +328,8 @@
         # Positions of ready peers when a host started, until it is ready.
         self.ready_positions: dict[str, dict[str, int]] = {}
 
-    def note_start(self, name: str) -> None:
-        """Forget the host's previous run and record its peers' positions."""
+    def record_start(self, name: str) -> None:
+        """Reset the revisions of a host and record its peers' positions."""
         self.revisions[name] = {}
         self.ready_positions[name] = {
             other: host.state.position
@@ -371,7 +371,7 @@
     cluster.write_work(cap=1)
     for name in ("a1", "a2", "a3", "b1"):
         cluster.start(name, zone=zones.get(name, "tartu-a"))
-        checker.note_start(name)
+        checker.record_start(name)
     await advance(5.0)
     for action, name, pause_s in steps:
         if action == "write":
@@ -386,7 +386,7 @@
             await cluster.stop(name)
             cluster.partitioned.discard(name)
             cluster.start(name, zone=zones.get(name, "tartu-a"))
-            checker.note_start(name)
+            checker.record_start(name)
         elif action == "partition":
             cluster.partitioned.add(name)
             cluster.hosts[name].store.reachable = False
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -95,7 +95,7 @@
         self.world = world
 
     async def send(self, request: backend_model.BackendRequest) -> Sent:
-        """Return the result from the schedule, or a time-out."""
+        """Return the result from the schedule, or a timeout."""
         attempt = Attempt(request, self.world.runs)
         self.world.attempts.append(attempt)
         timeout = self.world.clock.call_at(
--- a/tests/components/peers/test_io_mesh.py
+++ b/tests/components/peers/test_io_mesh.py
@@ -177,7 +177,7 @@
 
 
 def test_request_reply_and_timeout() -> None:
-    """Guard against mismatched replies and missing time-outs."""
+    """Guard against mismatched replies and missing timeouts."""
 
     async def test(cluster: Cluster) -> None:
         one = await cluster.add("eh1")
--- a/tests/components/placement/test_replay.py
+++ b/tests/components/placement/test_replay.py
@@ -96,7 +96,7 @@
 def test_objects_keep_their_servers_warm() -> None:
     """Load: requests for a few objects that warm servers handle faster.
 
-    Guards against placement by load alone, which keeps every server cold.
+    Guard against placement by load alone, which keeps every server cold.
     """
     by_object, by_load = replay_load(), replay_load(least_loaded=True)
     assert sum(report.affinity_misses for report in by_object) < 0.5 * sum(
@@ -110,7 +110,7 @@
 def test_burst_is_refused_early(monkeypatch: pytest.MonkeyPatch) -> None:
     """Load: a burst of four times the usual look-ups.
 
-    Guards against queues so long that every request is answered late.
+    Guard against queues so long that every request is answered late.
     """
     bounded = replay_load(phases=[BURST])
     monkeypatch.setattr(const, "FULL_RATIO", 100.0)
@@ -123,7 +123,7 @@
 ) -> None:
     """Load: an increase that fills only the servers of some objects.
 
-    Guards against refusals while other servers have free slots.
+    Guard against refusals while other servers have free slots.
     """
     two_servers = replay_load(phases=[UNEVEN_BURST])
     monkeypatch.setattr(const, "SERVERS_PER_OBJECT", 1)
@@ -141,7 +141,7 @@
 ) -> None:
     """Load: ten hosts that each send a server little, and together too much.
 
-    Guards against a host that ignores the requests of other hosts while they
+    Guard against a host that ignores the requests of other hosts while they
     still run, so that its own are queued behind them.
     """
     slow_decay = replay_load(phases=[BURST])
@@ -153,9 +153,9 @@
 
 
 def test_refused_callers_do_not_retry_together() -> None:
-    """Load: callers that are refused in a burst and retry when told to.
+    """Load: callers that are refused in a burst and retry at the given time.
 
-    Guards against a second burst at a retry time that all were given.
+    Guard against a second burst at a retry time that all were given.
     """
     for report in replay_load(phases=[BURST]):
         times = sorted(report.retry_times_s)
