--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -199,7 +199,7 @@
     async def admit(self, request: core.CallerRequest) -> Outcome | None:
         """Return the immediate outcome, None if the request is queued."""
         task = self.submit(request)
-        await settle()
+        await run_ready_tasks()
         return task.result() if task.done() else None
 
     async def fill(
@@ -229,7 +229,7 @@
         """Advance the clock in steps and run the ready tasks after each."""
         for _ in range(max(1, round(seconds / step_s))):
             self.timer.advance(step_s)
-            await settle()
+            await run_ready_tasks()
 
     def fail_region(self, region: str) -> None:
         """Mark every server of a region as refusing connections."""
@@ -244,7 +244,7 @@
                 )
 
 
-async def settle() -> None:
+async def run_ready_tasks() -> None:
     """Run the tasks that are ready."""
     for _ in range(4):
         await asyncio.sleep(0)
@@ -338,7 +338,7 @@
                 # A step of zero would never reach the arrival.
                 advance_s = min(advance_s, max(1e-9, next_timer_s))
             harness.timer.advance(advance_s)
-            await settle()
+            await run_ready_tasks()
         tasks.append(asyncio.ensure_future(run_request(load)))
         await asyncio.sleep(0)
     await harness.advance(12.0)
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -48,7 +48,7 @@
     async def test() -> None:
         harness = simulation.Harness()
         exports = [harness.submit(harness.request(EXPORT)) for _ in range(50)]
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert sum(task.done() for task in exports) == 10
         await harness.fill(1, URGENT)
         for task in exports:
@@ -66,9 +66,9 @@
         later = harness.submit(harness.request(URGENT, deadline_s=9.0))
         less_urgent = harness.submit(harness.request(EXPORT, deadline_s=1.0))
         sooner = harness.submit(harness.request(URGENT, deadline_s=3.0))
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         harness.finish(*admitted[0])
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert (sooner.done(), later.done(), less_urgent.done()) == (
             True,
             False,
@@ -90,15 +90,15 @@
             harness.submit(harness.request(URGENT, deadline_s=5.0 + number))
             for number in range(2)
         )
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         first.cancel()
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert harness.admission.queued() == (1, 0, 0)
         # The permit is granted and the task cancelled in the same event loop
         # step.
         harness.finish(*admitted[0])
         second.cancel()
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert harness.ledger.free("region:tallinn") == 1
         assert harness.admission.queued() == (0, 0, 0)
 
@@ -143,7 +143,7 @@
         other_request = harness.submit(
             harness.request(INTERACTIVE, work="case-lookup")
         )
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert (over_limit.done(), other_request.done()) == (False, True)
         over_limit.cancel()
 
@@ -159,7 +159,7 @@
         task = harness.submit(harness.request(URGENT))
         await harness.advance(0.1)
         harness.finish(*admitted[0])
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert task.result().unwrap().bundle.region == "tallinn"
         queued = harness.submit(harness.request(URGENT))
         await harness.advance(0.6)
@@ -178,7 +178,7 @@
             harness.submit(harness.request(EXPORT, deadline_s=2.0))
             for _ in range(30)
         ]
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         # A tenth of the cap is reserved for each of the more urgent ranks.
         admitted = [
             task
@@ -224,7 +224,7 @@
                 harness.submit(harness.request(URGENT, deadline_s=30.0))
                 for _ in range(count)
             ]
-            await simulation.settle()
+            await simulation.run_ready_tasks()
         if condition == "unreachable":
             request = harness.request(URGENT, deadline_s=0.1)
         task = harness.submit(request)
@@ -252,7 +252,7 @@
         permit = model.Permit(1, bundle, model.PermitSource.LOAN)
         harness.fake_borrower.permits.append(permit)
         task = harness.submit(harness.request())
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert not task.done()
         assert harness.fake_borrower.ended_permits
         assert harness.fake_borrower.requested_bundles
@@ -336,9 +336,9 @@
         assert lender.ledger.free("region:tallinn") == 12 - 8
         for request, task in zip(requests, tasks, strict=True):
             harness.finish(request, task.result().unwrap())
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         retry = harness.submit(harness.request(URGENT))
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert isinstance(retry.result(), Success)
 
     run(test())
--- a/tests/components/execution/test_executor.py
+++ b/tests/components/execution/test_executor.py
@@ -33,9 +33,9 @@
 ) -> asyncio.Task[model.Outcome]:
     """Send a request to the first host and admit it to a server."""
     call = world.call("eh1", piece, token)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     world.hosts["eh1"].admission.decide()
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     return call
 
 
@@ -57,7 +57,7 @@
 ) -> ResultCode:
     """Send a request to a host other than the token's host."""
     call = world.call("eh2", piece, token)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     while world.messages:
         await world.messages.pop(0)(reply_lost)
     world.clock.advance(const.OUTCOME_QUERY_TIMEOUT_S)
@@ -67,7 +67,7 @@
 async def stop_host(world: world_module.World, *, deliver_count: int) -> None:
     """Stop the first host and deliver only some of its messages."""
     stopping = asyncio.create_task(world.hosts["eh1"].executor.hand_over())
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     while world.messages:
         message = world.messages.pop(0)
         if deliver_count > 0:
@@ -75,7 +75,7 @@
             deliver_count -= 1
         else:
             world.clock.advance(const.HANDOVER_TIMEOUT_S)
-        await world.run_until_idle()
+        await world.run_ready_tasks()
     await stopping
     world.start_host("eh1")
 
@@ -92,7 +92,7 @@
     call = await dispatch(world, None)
     world.attempts[0].run()
     world.attempts[0].reply(FailureKind.RESET)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     world.hosts["eh1"].admission.decide(BUSY)
     assert await result_code(call) is ResultCode.BACKEND_RESET
 
@@ -117,12 +117,12 @@
     """A filing that was not sent is retried on another server."""
     call = await dispatch(world, world.token())
     world.attempts[0].reply(FailureKind.NOT_SENT)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     admission = world.hosts["eh1"].admission
     first_server = world.attempts[0].request.server.name
     assert admission.excluded[1] == {first_server}
     admission.decide()
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     world.attempts[1].reply(None)
     assert await result_code(call) is ResultCode.OK
     assert admission.ended == [PermitEnd.COMPLETE] * 2
@@ -135,11 +135,11 @@
         call = await dispatch(world, None)
         while not call.done():
             world.attempts[-1].reply(FailureKind.NOT_SENT)
-            await world.run_until_idle()
+            await world.run_ready_tasks()
             world.clock.advance(0.021)
-            await world.run_until_idle()
+            await world.run_ready_tasks()
             world.hosts["eh1"].admission.decide()
-            await world.run_until_idle()
+            await world.run_ready_tasks()
         codes.append(await result_code(call))
     assert codes[-1] is ResultCode.RETRY_BUDGET_EMPTY
     assert len(world.attempts) <= 20 + 20 * const.RETRY_RATIO + 4
@@ -149,7 +149,7 @@
     """A refusal that reports "not run" leaves the token usable."""
     token = world.token()
     call = world.call("eh1", "p", token)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     assert not world.hosts["eh1"].executor.is_unused(token)
     world.hosts["eh1"].admission.decide(BUSY)
     assert await result_code(call) is ResultCode.OVERLOADED
@@ -165,7 +165,7 @@
     call = await dispatch(world, token)
     repeat = world.call("eh1", "p", token)
     short_call = world.call("eh1", "p", token, timeout_s=0.1)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     world.clock.advance(0.1 + const.WAIT_MARGIN_S)
     assert await result_code(short_call) is ResultCode.ATTEMPT_RUNNING
     world.attempts[0].reply(None)
@@ -180,7 +180,7 @@
     token = world.token()
     call = await dispatch(world, token)
     call.cancel()
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     assert len(world.hosts["eh1"].executor.runs) == 1
     world.attempts[0].reply(None)
     await world.hosts["eh1"].executor.wait_for_runs()
@@ -193,9 +193,9 @@
     """A caller that disconnects while queued frees its place and token."""
     token = world.token()
     call = world.call("eh1", "p", token)
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     call.cancel()
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     assert not world.hosts["eh1"].executor.runs
     assert world.hosts["eh1"].admission.pending[0].cancelled()
     await complete(world, token)
@@ -205,7 +205,7 @@
     """A caller that disconnects cancels repeatable work."""
     call = await dispatch(world, None)
     call.cancel()
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     assert world.attempts[0].result.cancelled()
     assert world.hosts["eh1"].admission.ended == [PermitEnd.ORPHANED]
     # None would count as an answer, and with its short latency a fast one.
@@ -350,10 +350,10 @@
     token = world.token()
     host = world.hosts["eh1"]
     stopping = asyncio.create_task(host.executor.hand_over())
-    await world.run_until_idle()
+    await world.run_ready_tasks()
     late_call = world.call("eh1", "p", token)
     assert await result_code(late_call) is ResultCode.STOPPING
-    assert await result_code(world.ask("eh1", "p", token)) is (
+    assert await result_code(world.query_outcome("eh1", "p", token)) is (
         ResultCode.TOKEN_REVOKED
     )
     stopping.cancel()
--- a/tests/components/execution/test_schedules.py
+++ b/tests/components/execution/test_schedules.py
@@ -71,7 +71,7 @@
         if action in ("dispatch", "repeatable"):
             repeatable = action == "repeatable"
             self.call("eh1", piece, first, repeatable=repeatable)
-            await world.run_until_idle()
+            await world.run_ready_tasks()
             token_host.admission.decide()
         elif action == "call":
             self.call(name, piece, first, repeatable=False)
@@ -95,7 +95,7 @@
             message = world.messages.pop(first % len(world.messages))
             self.spawn(message(action == "lose"))
         elif action == "ask":
-            world.ask(name, piece, self.tokens[piece])
+            world.query_outcome(name, piece, self.tokens[piece])
         elif action == "crash":
             world.start_host("eh1")
             self.all_hosts.append(world.hosts["eh1"])
@@ -105,7 +105,7 @@
         elif action == "call_other":
             self.call(NAMES[1 + first % 2], piece, 1, repeatable=False)
             await self.deliver(1)
-        await world.run_until_idle()
+        await world.run_ready_tasks()
 
     def call(
         self, name: str, piece: str, choice: int, *, repeatable: bool
@@ -123,7 +123,7 @@
     async def deliver(self, count: int) -> None:
         """Deliver the latest messages and leave the others in transit."""
         for _ in range(count):
-            await self.world.run_until_idle()
+            await self.world.run_ready_tasks()
             if self.world.messages:
                 await self.world.messages.pop()(False)
 
@@ -136,7 +136,7 @@
         """Refuse all requests that await admission; deliver all messages."""
         pending = True
         while pending:
-            await self.world.run_until_idle()
+            await self.world.run_ready_tasks()
             pending = bool(self.world.messages)
             for host in self.all_hosts:
                 pending |= any(
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -203,7 +203,7 @@
 
 
 class Catalogue:
-    """Hold the small view of the catalogue."""
+    """Hold the small catalogue."""
 
     def __init__(self) -> None:
         self.view: catalogue_view.CatalogueView = VIEW
@@ -383,7 +383,7 @@
         )
         return self.track(self.hosts[name].executor.run(request), piece)
 
-    def ask(
+    def query_outcome(
         self, name: str, piece: str, token: str
     ) -> asyncio.Task[model.Outcome]:
         """Ask a host for the outcome of a token and check the answer."""
@@ -422,7 +422,7 @@
         for attempt in self.attempts:
             attempt.reported_not_run |= attempt.piece == piece
 
-    async def run_until_idle(self) -> None:
+    async def run_ready_tasks(self) -> None:
         """Run the event loop until all tasks wait for the schedule."""
         for _ in range(12):
             await asyncio.sleep(0)
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -44,7 +44,7 @@
         self.sent.append((self.host.timer.monotonic() - 1000.0, message))
 
 
-async def settle_tasks() -> None:
+async def run_ready_tasks() -> None:
     for _ in range(5):
         await asyncio.sleep(0)
 
@@ -87,9 +87,9 @@
                 body_bytes=20,
                 count=2,
             )
-        await settle_tasks()
+        await run_ready_tasks()
         host.timer.advance(delay_s)
-        await settle_tasks()
+        await run_ready_tasks()
         check(host, mesh, borrower)
         host.timer.advance(60.0)
         host.kill()
