--- a/src/samphirelug/components/admission/ports.py
+++ b/src/samphirelug/components/admission/ports.py
@@ -23,9 +23,9 @@
         """Ask peers for bundles unless such a request is in progress."""
 
     def request_units(self, *, key: str, needed: int) -> None:
-        """Ask peers for units of one key until this many are free."""
+        """Ask peers for plain units of a key until this many are free."""
 
-    def take(
+    def try_acquire(
         self, *, work: str, region: str, home_region: str, body_bytes: int
     ) -> model.Permit | None:
         """Return a permit for a borrowed bundle, if one is available."""
--- a/src/samphirelug/components/execution/executor.py
+++ b/src/samphirelug/components/execution/executor.py
@@ -21,14 +21,14 @@
 from samphirelug.components.execution import retry_budget
 from samphirelug.components.execution import tokens
 from samphirelug.components.metrics import registry
-from samphirelug.components.peers import mesh as mesh_module
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug import core
-from samphirelug.helpers import timer as timer_module
+from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 from samphirelug.result_codes import ResultCode
 
-LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 _CODE_BY_FAILURE = {
     backend_model.FailureKind.NOT_SENT: ResultCode.BACKEND_UNREACHABLE,
@@ -65,8 +65,8 @@
         health: ports.Health,
         outcomes: outcomes_module.OutcomeTable,
         issuer: tokens.TokenIssuer,
-        mesh: mesh_module.PeerMesh,
-        timer: timer_module.TimerService,
+        mesh: peers_mesh.PeerMesh,
+        timer: timer_helper.TimerService,
         rng: random.Random,
         metrics: registry.Metrics,
         host: core.EntryHost,
@@ -85,8 +85,8 @@
         self.budget = retry_budget.RetryBudget(now=timer.monotonic())
         # Runs under a run token that have not ended, by token id.
         self.runs: dict[str, Run] = {}
-        mesh.set_handler(peer_model.OutcomeQuery, self.on_query)
-        mesh.set_handler(peer_model.OutcomeHandover, self.on_handover)
+        mesh.set_handler(peers_model.OutcomeQuery, self.on_query)
+        mesh.set_handler(peers_model.OutcomeHandover, self.on_handover)
 
     async def run(self, request: core.CallerRequest) -> model.Outcome:
         """Return the answer to a request, or the refusal.
@@ -175,26 +175,26 @@
     async def on_query(
         self,
         sender: str,  # noqa: ARG002
-        message: peer_model.Message,
-    ) -> peer_model.Message | None:
+        message: peers_model.Message,
+    ) -> peers_model.Message | None:
         """Answer another host's query for the outcome of a run token."""
-        assert isinstance(message, peer_model.OutcomeQuery)
+        assert isinstance(message, peers_model.OutcomeQuery)
         decoded = self.issuer.decode(message.token)
         if isinstance(decoded, Failure):
             return None
-        return peer_model.OutcomeReply(self.outcomes.revoke(decoded.unwrap()))
+        return peers_model.OutcomeReply(self.outcomes.revoke(decoded.unwrap()))
 
     async def on_handover(
-        self, sender: str, message: peer_model.Message
-    ) -> peer_model.Message | None:
+        self, sender: str, message: peers_model.Message
+    ) -> peers_model.Message | None:
         """Store the outcomes of a peer that is stopping."""
-        assert isinstance(message, peer_model.OutcomeHandover)
+        assert isinstance(message, peers_model.OutcomeHandover)
         if not self.outcomes.accept_handover(message):
-            LOG.warning(
+            _LOGGER.warning(
                 "outcome table full; rejected the outcomes of %s", sender
             )
             return None
-        return peer_model.Acknowledgement()
+        return peers_model.Acknowledgement()
 
     def _find_work(
         self, name: str
@@ -211,7 +211,8 @@
         if work is None:
             return Failure(
                 result_codes.Refusal(
-                    ResultCode.UNKNOWN_WORK, "the catalogue has no such work"
+                    ResultCode.UNKNOWN_WORK,
+                    "the catalogue has no work entry of this name",
                 )
             )
         return Success(work)
@@ -260,7 +261,7 @@
                 request, found.unwrap(), repeatable=False, run=run
             )
         except Exception:
-            LOG.exception(
+            _LOGGER.exception(
                 "run failed unexpectedly", extra=_log_fields(request)
             )
             return _refuse(
@@ -277,20 +278,21 @@
         assert run.task is not None
         waiter = asyncio.get_running_loop().create_future()
 
-        def wake(_: object = None) -> None:
+        def stop_waiting(_: object = None) -> None:
             if not waiter.done():
                 waiter.set_result(None)
 
-        run.task.add_done_callback(wake)
+        run.task.add_done_callback(stop_waiting)
         timeout = self.timer.call_at(
-            when_s=request.deadline_at_s + const.WAIT_MARGIN_S, callback=wake
+            when_s=request.deadline_at_s + const.WAIT_MARGIN_S,
+            callback=stop_waiting,
         )
         run.waiting_calls += 1
         try:
             await waiter
         finally:
             timeout.cancel()
-            run.task.remove_done_callback(wake)
+            run.task.remove_done_callback(stop_waiting)
             run.waiting_calls -= 1
             if run.waiting_calls == 0 and not run.dispatched:
                 run.task.cancel()
@@ -310,7 +312,7 @@
         repeatable: bool,
         run: Run,
     ) -> model.Outcome:
-        self.budget.count_first_attempt()
+        self.budget.record_first_attempt()
         excluded: frozenset[str] = frozenset()
         # Set once an attempt may have run the work; from then on, no refusal
         # may say that the request was not run.
@@ -341,7 +343,7 @@
             now = self.timer.monotonic()
             if now + const.MIN_RETRY_TIME_S >= request.deadline_at_s:
                 return Failure(unknown_outcome or refusal)
-            if not self.budget.take(now=now):
+            if not self.budget.try_acquire(now=now):
                 exhausted = result_codes.Refusal(
                     ResultCode.RETRY_BUDGET_EMPTY,
                     failure.detail,
@@ -392,9 +394,9 @@
             max_answer_bytes=work["max_answer_bytes"],
             traffic=traffic,
         )
-        started_s = self.timer.monotonic()
+        started_at_s = self.timer.monotonic()
         run.dispatched = True
-        self.health.started(name)
+        self.health.attempt_started(name)
         server_done = False
         answer_bytes = 0
         # Reported to the health tracking if the client raises.
@@ -424,8 +426,10 @@
                 answer_bytes=answer_bytes,
                 traffic=traffic,
             )
-            latency_s = self.timer.monotonic() - started_s
-            self.health.ended(name, latency_s=latency_s, failure=failure)
+            latency_s = self.timer.monotonic() - started_at_s
+            self.health.attempt_ended(
+                name, latency_s=latency_s, failure=failure
+            )
 
     def _finish(
         self,
@@ -464,13 +468,13 @@
             return outcomes_module.outcome_from_record(record, digest)
         reply = await self.mesh.request(
             run_token.host,
-            peer_model.OutcomeQuery(token),
+            peers_model.OutcomeQuery(token),
             timeout_s=const.OUTCOME_QUERY_TIMEOUT_S,
         )
         if isinstance(reply, Success):
             message = reply.unwrap()
             if (
-                isinstance(message, peer_model.OutcomeReply)
+                isinstance(message, peers_model.OutcomeReply)
                 and message.record.token_id == run_token.token_id
             ):
                 return outcomes_module.outcome_from_record(
@@ -483,7 +487,7 @@
     async def _hand_over_to_peer(
         self,
         peer: str,
-        messages: tuple[peer_model.OutcomeHandover, ...],
+        messages: tuple[peers_model.OutcomeHandover, ...],
     ) -> bool:
         for message in messages:
             # A peer can accept a message twice, so a lost reply is retried.
@@ -492,7 +496,7 @@
                     peer, message, timeout_s=const.HANDOVER_TIMEOUT_S
                 )
                 if isinstance(
-                    reply.value_or(None), peer_model.Acknowledgement
+                    reply.value_or(None), peers_model.Acknowledgement
                 ):
                     break
             else:
--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -177,7 +177,7 @@
         if work is None:
             return result_codes.Refusal(
                 result_codes.ResultCode.UNKNOWN_WORK,
-                f"no work entry {route.work[:63]!r}",
+                f"the catalogue has no work entry {route.work[:63]!r}",
             )
         if work["work_class"].rank is not rank:
             return result_codes.Refusal(
@@ -202,7 +202,7 @@
     def _memory_refusal(
         self, fields: Mapping[str, str]
     ) -> result_codes.Refusal:
-        """Return a refusal whose code tells whether the work may have run."""
+        """Return a refusal; ENTRY_HOST_LOST if the work may have run."""
         code = result_codes.ResultCode.OVERLOADED
         if self._may_have_run(fields):
             code = result_codes.ResultCode.ENTRY_HOST_LOST
--- a/src/samphirelug/components/quota/loans.py
+++ b/src/samphirelug/components/quota/loans.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from samphirelug.components.admission import model as admission_model
-from samphirelug.components.peers import mesh as peer_mesh
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import mesh as peers_mesh
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import const
 from samphirelug.components.quota import ledger as quota_ledger
 from samphirelug.components.quota import model
@@ -18,7 +18,7 @@
 from samphirelug import core
 from samphirelug.helpers import timer as timer_helper
 
-LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 
 # A reply after this time leaves too little of the loan to be useful.
 GRANT_TIMEOUT_S = const.LOAN_S / 2
@@ -35,7 +35,7 @@
 UNIT_CHECK_S = 0.25
 UNIT_IDLE_S = 2 * REFUSED_BACKOFF_S
 # The lender reclaims plain units after this time if they are not returned.
-UNIT_LOAN_MAX_S = (
+MAX_UNIT_LOAN_S = (
     const.LOAN_S + const.REQUEST_HOLD_S + const.LINK_RELEASE_DELAY_S
 )
 # An unused bundle is returned after this time, so that its lender can use it.
@@ -71,8 +71,8 @@
 
     key: str
     lender: str
-    grant: peer_model.UnitGrant
-    sent_s: float
+    grant: peers_model.UnitGrant
+    sent_at_s: float
 
 
 class Borrower:
@@ -85,7 +85,7 @@
         self,
         *,
         ledger: quota_ledger.QuotaLedger,
-        mesh: peer_mesh.PeerMesh,
+        mesh: peers_mesh.PeerMesh,
         timer: timer_helper.TimerService,
         host: core.EntryHost,
     ) -> None:
@@ -104,7 +104,7 @@
         self._unit_loans: list[UnitLoan] = []
         self._unit_tasks: dict[str, asyncio.Task[None]] = {}
         self._unit_backoff: dict[str, float] = {}
-        self._unit_requested_s: dict[str, float] = {}
+        self._unit_requested_at_s: dict[str, float] = {}
         self._unit_check_timer: timer_helper.Subscription | None = None
         # Seeded by incarnation, so that two hosts that each received part of
         # the units that both need retry at different times.
@@ -137,7 +137,7 @@
         scope = LoanScope(work, region, home_region != region)
         if scope in self._requests:
             return
-        request = peer_model.GrantRequest(
+        request = peers_model.GrantRequest(
             work=work,
             region=region,
             bundles_wanted=count,
@@ -151,7 +151,7 @@
         self._requests[scope] = task
         task.add_done_callback(lambda _: self._requests.pop(scope, None))
 
-    def take(
+    def try_acquire(
         self, *, work: str, region: str, home_region: str, body_bytes: int
     ) -> admission_model.Permit | None:
         """Return a permit to dispatch now, or None if no bundle fits."""
@@ -201,7 +201,7 @@
     def request_units(self, *, key: str, needed: int) -> None:
         """Ask peers for plain units until the needed number is free here."""
         now = self.timer.monotonic()
-        self._unit_requested_s[key] = now
+        self._unit_requested_at_s[key] = now
         if key in self._unit_tasks or now < self._unit_backoff.get(key, 0.0):
             return
         task = asyncio.get_running_loop().create_task(
@@ -225,15 +225,15 @@
             ) - _total_units(loans)
             if missing <= 0 or requested <= 0:
                 break
-            sent_s = self.timer.monotonic()
+            sent_at_s = self.timer.monotonic()
             answer = await self.mesh.request(
                 lender,
-                peer_model.UnitRequest((model.UnitAmount(key, requested),)),
+                peers_model.UnitRequest((model.UnitAmount(key, requested),)),
                 timeout_s=GRANT_TIMEOUT_S,
             )
             grant = answer.value_or(None)
-            if isinstance(grant, peer_model.UnitGrant) and grant.units:
-                loans.append(UnitLoan(key, lender, grant, sent_s))
+            if isinstance(grant, peers_model.UnitGrant) and grant.units:
+                loans.append(UnitLoan(key, lender, grant, sent_at_s))
         if _total_units(loans) < needed - self.ledger.free(key):
             wait_s = self._rng.uniform(1.0, 3.0) * REFUSED_BACKOFF_S
             self._unit_backoff[key] = self.timer.monotonic() + wait_s
@@ -245,7 +245,8 @@
             self.ledger.borrow(
                 loan.grant.units,
                 loan_id=loan.grant.loan_id,
-                until_s=loan.sent_s + duration_s * (1.0 - const.CLOCK_DRIFT),
+                until_s=loan.sent_at_s
+                + duration_s * (1.0 - const.MAX_CLOCK_DRIFT),
             )
         self._unit_loans.extend(loans)
         self._schedule_unit_check()
@@ -275,12 +276,12 @@
         remaining: list[UnitLoan] = []
         for loan in self._unit_loans:
             loan_id = loan.grant.loan_id
-            requested_s = self._unit_requested_s.get(loan.key, -math.inf)
+            requested_at_s = self._unit_requested_at_s.get(loan.key, -math.inf)
             in_demand = (
-                now - requested_s < UNIT_IDLE_S
-                and now < loan.sent_s + const.LOAN_S
+                now - requested_at_s < UNIT_IDLE_S
+                and now < loan.sent_at_s + const.LOAN_S
             )
-            if now >= loan.sent_s + UNIT_LOAN_MAX_S:
+            if now >= loan.sent_at_s + MAX_UNIT_LOAN_S:
                 self.ledger.drop_borrowed(loan_id)
             elif not in_demand and self.ledger.return_borrowed(loan_id):
                 self._return_units(loan)
@@ -291,23 +292,23 @@
 
     def _return_units(self, loan: UnitLoan) -> None:
         self.mesh.send(
-            loan.lender, peer_model.GrantReturn(loan.grant.loan_id, 0)
+            loan.lender, peers_model.GrantReturn(loan.grant.loan_id, 0)
         )
 
     async def _request_from_lenders(
-        self, scope: LoanScope, request: peer_model.GrantRequest
+        self, scope: LoanScope, request: peers_model.GrantRequest
     ) -> None:
         for lender in self._lenders(scope)[:MAX_LENDERS_ASKED]:
-            sent_s = self.timer.monotonic()
+            sent_at_s = self.timer.monotonic()
             answer = await self.mesh.request(
                 lender, request, timeout_s=GRANT_TIMEOUT_S
             )
             grant = answer.value_or(None)
-            if not isinstance(grant, peer_model.Grant) or not grant.bundles:
+            if not isinstance(grant, peers_model.Grant) or not grant.bundles:
                 now = self.timer.monotonic()
                 self._backoff[(lender, scope)] = now + REFUSED_BACKOFF_S
                 continue
-            self._store_bundles(scope, request, lender, grant, sent_s)
+            self._store_bundles(scope, request, lender, grant, sent_at_s)
             return
 
     def _lenders(self, scope: LoanScope) -> list[str]:
@@ -339,13 +340,13 @@
     def _store_bundles(
         self,
         scope: LoanScope,
-        request: peer_model.GrantRequest,
+        request: peers_model.GrantRequest,
         lender: str,
-        grant: peer_model.Grant,
-        sent_s: float,
+        grant: peers_model.Grant,
+        sent_at_s: float,
     ) -> None:
         duration_s = min(grant.duration_s, const.LOAN_S)
-        until_s = sent_s + duration_s * (1.0 - const.CLOCK_DRIFT)
+        until_s = sent_at_s + duration_s * (1.0 - const.MAX_CLOCK_DRIFT)
         for number, bundle in enumerate(grant.bundles, start=1):
             keys = [unit.key for unit in bundle.units]
             crosses_link = any(key.startswith("link:") for key in keys)
@@ -382,7 +383,7 @@
     def _return_bundle(self, borrowed: BorrowedBundle) -> None:
         self.mesh.send(
             borrowed.lender,
-            peer_model.GrantReturn(borrowed.loan_id, borrowed.number),
+            peers_model.GrantReturn(borrowed.loan_id, borrowed.number),
         )
 
     def _notify(self) -> None:
@@ -401,14 +402,14 @@
 
 def make_return_handler(
     ledger: quota_ledger.QuotaLedger,
-) -> peer_mesh.Handler:
+) -> peers_mesh.Handler:
     """Return the handler for GrantReturn messages to a lender."""
 
     async def settle(
         sender: str,  # noqa: ARG001
-        message: peer_model.Message,
-    ) -> peer_model.Message | None:
-        if isinstance(message, peer_model.GrantReturn):
+        message: peers_model.Message,
+    ) -> peers_model.Message | None:
+        if isinstance(message, peers_model.GrantReturn):
             ledger.settle(message.loan_id, message.bundle_number)
         return None
 
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -29,12 +29,12 @@
     asyncio.run(test)
 
 
-def code_of(outcome: simulation.Outcome | None) -> Code | None:
+def refusal_code(outcome: simulation.Outcome | None) -> Code | None:
     return outcome.failure().code if isinstance(outcome, Failure) else None
 
 
 def test_interactive_work_alone_uses_nine_tenths_of_the_region() -> None:
-    """Guards against units reserved for less urgent ranks that are idle."""
+    """Guard against idle units that are reserved for less urgent ranks."""
 
     async def test() -> None:
         await simulation.Harness().fill(11)
@@ -42,23 +42,23 @@
     run(test())
 
 
-def test_reserve_lets_urgent_work_in_during_a_flood_of_exports() -> None:
-    """Guards against less urgent work that takes the last free units."""
+def test_reserve_admits_urgent_work_during_overload_by_exports() -> None:
+    """Guard against less urgent work that takes the last free units."""
 
     async def test() -> None:
         harness = simulation.Harness()
-        flood = [harness.submit(harness.request(EXPORT)) for _ in range(50)]
-        await simulation.settle()
-        assert sum(task.done() for task in flood) == 10
+        exports = [harness.submit(harness.request(EXPORT)) for _ in range(50)]
+        await simulation.run_ready_tasks()
+        assert sum(task.done() for task in exports) == 10
         await harness.fill(1, URGENT)
-        for task in flood:
+        for task in exports:
             task.cancel()
 
     run(test())
 
 
 def test_released_unit_goes_to_the_most_urgent_earliest_deadline() -> None:
-    """Guards against first-come-first-served order in the queue."""
+    """Guard against first-come-first-served order in the queue."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -66,9 +66,9 @@
         later = harness.submit(harness.request(URGENT, deadline_s=9.0))
         less_urgent = harness.submit(harness.request(EXPORT, deadline_s=1.0))
         sooner = harness.submit(harness.request(URGENT, deadline_s=3.0))
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         harness.finish(*admitted[0])
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert (sooner.done(), later.done(), less_urgent.done()) == (
             True,
             False,
@@ -81,7 +81,7 @@
 
 
 def test_cancelled_caller_leaves_the_queue_and_gives_back_a_permit() -> None:
-    """Guards against leaked units when a caller closes its connection."""
+    """Guard against leaked units when a caller closes its connection."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -90,15 +90,15 @@
             harness.submit(harness.request(URGENT, deadline_s=5.0 + number))
             for number in range(2)
         )
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         first.cancel()
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert harness.admission.queued() == (1, 0, 0)
         # The permit is granted and the task cancelled in the same event loop
         # step.
         harness.finish(*admitted[0])
         second.cancel()
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert harness.ledger.free("region:tallinn") == 1
         assert harness.admission.queued() == (0, 0, 0)
 
@@ -106,20 +106,20 @@
 
 
 def test_deadline_expires_promptly_in_the_queue() -> None:
-    """Guards against requests that stay queued beyond their deadline."""
+    """Guard against requests that stay queued beyond their deadline."""
 
     async def test() -> None:
         harness = simulation.Harness()
         await harness.fill(12, URGENT)
         task = harness.submit(harness.request(URGENT, deadline_s=0.3))
         await harness.advance(0.34)
-        assert code_of(task.result()) is Code.DEADLINE_EXPIRED
+        assert refusal_code(task.result()) is Code.DEADLINE_EXPIRED
 
     run(test())
 
 
 def test_blocked_work_entry_does_not_block_others_of_its_rank() -> None:
-    """Guards against head-of-line blocking by a work entry's limit."""
+    """Guard against head-of-line blocking by a work entry's limit."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -143,7 +143,7 @@
         other_request = harness.submit(
             harness.request(INTERACTIVE, work="case-lookup")
         )
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert (over_limit.done(), other_request.done()) == (False, True)
         over_limit.cancel()
 
@@ -151,7 +151,7 @@
 
 
 def test_full_home_region_queues_rather_than_spills() -> None:
-    """Guards against shifting requests that could soon be served at home."""
+    """Guard against shifting requests that could soon be served at home."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
@@ -159,7 +159,7 @@
         task = harness.submit(harness.request(URGENT))
         await harness.advance(0.1)
         harness.finish(*admitted[0])
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert task.result().unwrap().bundle.region == "tallinn"
         queued = harness.submit(harness.request(URGENT))
         await harness.advance(0.6)
@@ -168,8 +168,8 @@
     run(test())
 
 
-def test_shift_cap_holds_when_every_home_server_is_dead() -> None:
-    """Guards against exceeding the shift cap with a failed region's load."""
+def test_shift_cap_holds_when_every_home_server_has_failed() -> None:
+    """Guard against exceeding the shift cap with a failed region's load."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
@@ -178,7 +178,7 @@
             harness.submit(harness.request(EXPORT, deadline_s=2.0))
             for _ in range(30)
         ]
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         # A tenth of the cap is reserved for each of the more urgent ranks.
         admitted = [
             task
@@ -188,7 +188,7 @@
         assert len(admitted) == 8
         await harness.fill(2, URGENT)
         await harness.advance(2.1)
-        codes = [code_of(task.result()) for task in tasks]
+        codes = [refusal_code(task.result()) for task in tasks]
         assert codes.count(Code.SHIFT_CAP) == 22
 
     run(test())
@@ -205,7 +205,7 @@
     ],
 )
 def test_refusal_names_the_cause(condition: str, expected: Code) -> None:
-    """Guards against refusals that mislead the operator about the cause."""
+    """Guard against refusals that mislead the operator about the cause."""
 
     async def test() -> None:
         seats = () if condition == "no_seat" else ("tallinn",)
@@ -224,13 +224,13 @@
                 harness.submit(harness.request(URGENT, deadline_s=30.0))
                 for _ in range(count)
             ]
-            await simulation.settle()
+            await simulation.run_ready_tasks()
         if condition == "unreachable":
             request = harness.request(URGENT, deadline_s=0.1)
         task = harness.submit(request)
         await harness.advance(0.8)
         outcome = task.result()
-        assert code_of(outcome) is expected
+        assert refusal_code(outcome) is expected
         if queued:
             assert outcome.failure().retry_after_s > 0.1
         for other in queued:
@@ -240,7 +240,7 @@
 
 
 def test_bundle_of_a_leaving_server_is_given_back_unused() -> None:
-    """Guards against loans for leaving servers, and an endless loop."""
+    """Guard against use of leaving servers by loan, and an endless loop."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=())
@@ -252,7 +252,7 @@
         permit = model.Permit(1, bundle, model.PermitSource.LOAN)
         harness.fake_borrower.permits.append(permit)
         task = harness.submit(harness.request())
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert not task.done()
         assert harness.fake_borrower.ended_permits
         assert harness.fake_borrower.requested_bundles
@@ -262,7 +262,7 @@
 
 
 def test_lender_keeps_the_reserve_of_more_urgent_ranks() -> None:
-    """Guards against lending units that are reserved for urgent work."""
+    """Guard against lending units that are reserved for urgent work."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -317,7 +317,7 @@
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_host_without_units_borrows_or_refuses(reachable: bool) -> None:
-    """Guards against unused loans, and endless waits for a loan."""
+    """Guard against unused loans, and endless waits for a loan."""
 
     async def test() -> None:
         lender = simulation.Harness()
@@ -329,23 +329,23 @@
         await harness.advance(0.5)
         assert all(task.done() for task in tasks)
         if not reachable:
-            codes = {code_of(task.result()) for task in tasks}
+            codes = {refusal_code(task.result()) for task in tasks}
             assert codes == {Code.NO_SHARE}
             return
         # The lender and the borrower together never exceed the limit.
         assert lender.ledger.free("region:tallinn") == 12 - 8
         for request, task in zip(requests, tasks, strict=True):
             harness.finish(request, task.result().unwrap())
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         retry = harness.submit(harness.request(URGENT))
-        await simulation.settle()
+        await simulation.run_ready_tasks()
         assert isinstance(retry.result(), Success)
 
     run(test())
 
 
 def test_finish_twice_frees_units_once() -> None:
-    """Guards against releasing the same units twice."""
+    """Guard against releasing the same units twice."""
 
     async def test() -> None:
         harness = simulation.Harness()
@@ -370,7 +370,7 @@
 def test_every_schedule_ends_with_all_units_free(
     steps: list[tuple[str, int]],
 ) -> None:
-    """Guards against leaked units and requests that stay queued."""
+    """Guard against leaked units and requests that stay queued."""
 
     async def test() -> None:
         harness = simulation.Harness(seats=("tallinn", "tartu"))
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -7,7 +7,7 @@
 from returns.result import Success
 
 from samphirelug.components.admission import model as admission_model
-from samphirelug.components.peers import model as peer_model
+from samphirelug.components.peers import model as peers_model
 from samphirelug.components.quota import ledger as quota_ledger
 from samphirelug.components.quota import limits
 from samphirelug.components.quota import loans
@@ -26,25 +26,25 @@
         super().__init__(host)
         self.keys = ["region:tallinn"]
         self.delay_s = 0.0
-        self.sent: list[tuple[float, peer_model.Message]] = []
+        self.sent: list[tuple[float, peers_model.Message]] = []
 
     async def request(
-        self, host: str, message: peer_model.Message, *, timeout_s: float
-    ) -> Result[peer_model.Message, result_codes.Refusal]:
+        self, host: str, message: peers_model.Message, *, timeout_s: float
+    ) -> Result[peers_model.Message, result_codes.Refusal]:
         assert host == "eh2"
         assert timeout_s < 2.0
-        assert isinstance(message, peer_model.GrantRequest)
+        assert isinstance(message, peers_model.GrantRequest)
         await self.host.timer.sleep(self.delay_s)
         units = tuple(model.UnitAmount(key, 20) for key in self.keys)
         bundle = model.Bundle("tallinn", "s", units)
-        return Success(peer_model.Grant("l", (bundle, bundle), 2.0))
+        return Success(peers_model.Grant("l", (bundle, bundle), 2.0))
 
-    def send(self, host: str, message: peer_model.Message) -> None:
+    def send(self, host: str, message: peers_model.Message) -> None:
         assert host == "eh2"
         self.sent.append((self.host.timer.monotonic() - 1000.0, message))
 
 
-async def settle_tasks() -> None:
+async def run_ready_tasks() -> None:
     for _ in range(5):
         await asyncio.sleep(0)
 
@@ -54,10 +54,10 @@
     *,
     delay_s: float = 0.0,
     keys: tuple[str, ...] = ("region:tallinn",),
-) -> list[tuple[float, peer_model.Message]]:
+) -> list[tuple[float, peers_model.Message]]:
     """Borrow two bundles, run a check and return the messages sent."""
 
-    async def run() -> list[tuple[float, peer_model.Message]]:
+    async def run() -> list[tuple[float, peers_model.Message]]:
         sim = simulation.QuotaSimulation(seed=0, settings=simulation.SETTINGS)
         host = sim.start("eh1", "tartu-a")
         lender = sim.start("eh2", "tallinn-a")
@@ -87,9 +87,9 @@
                 body_bytes=20,
                 count=2,
             )
-        await settle_tasks()
+        await run_ready_tasks()
         host.timer.advance(delay_s)
-        await settle_tasks()
+        await run_ready_tasks()
         check(host, mesh, borrower)
         host.timer.advance(60.0)
         host.kill()
@@ -99,10 +99,10 @@
     return asyncio.run(run())
 
 
-def take(
+def acquire(
     borrower: loans.Borrower, *, body_bytes: int = 20, home: str = "tallinn"
 ) -> admission_model.Permit | None:
-    return borrower.take(
+    return borrower.try_acquire(
         work="status",
         region="tallinn",
         home_region=home,
@@ -110,8 +110,8 @@
     )
 
 
-def returned(number: int) -> peer_model.GrantReturn:
-    return peer_model.GrantReturn("l", number)
+def returned(number: int) -> peers_model.GrantReturn:
+    return peers_model.GrantReturn("l", number)
 
 
 def test_bundle_is_reused_until_the_loan_ends() -> None:
@@ -120,19 +120,19 @@
     def check(
         host: simulation.Host, mesh: ScriptedMesh, borrower: loans.Borrower
     ) -> None:
-        permit = take(borrower)
+        permit = acquire(borrower)
         assert permit is not None
         host.timer.advance(0.9)
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
-        permit = take(borrower)
+        permit = acquire(borrower)
         assert permit is not None
         # The idle bundle was returned. The loan ends at 0.9 s + 1.08 s.
         assert mesh.sent == [(0.9 + 0.1, returned(2))]
-        assert take(borrower) is None
+        assert acquire(borrower) is None
         host.timer.advance(0.19)
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
-        assert take(borrower) is None
+        assert acquire(borrower) is None
 
     sent = borrow(check, delay_s=0.9)
     assert [message for _, message in sent] == [returned(2), returned(1)]
@@ -147,7 +147,7 @@
         borrower: loans.Borrower,
     ) -> None:
         host.timer.now_s += 1.98
-        assert take(borrower) is None
+        assert acquire(borrower) is None
 
     borrow(check)
 
@@ -158,9 +158,9 @@
     def check(
         host: simulation.Host, mesh: ScriptedMesh, borrower: loans.Borrower
     ) -> None:
-        assert take(borrower, body_bytes=21) is None
-        assert take(borrower, home="tartu") is None
-        permit = take(borrower)
+        assert acquire(borrower, body_bytes=21) is None
+        assert acquire(borrower, home="tartu") is None
+        permit = acquire(borrower)
         assert permit is not None
         borrower.end(permit, ended=COMPLETE, deadline_at_s=1e9)
         assert mesh.sent == [(0.0, returned(1))]
@@ -177,7 +177,7 @@
         mesh: ScriptedMesh,  # noqa: ARG001
         borrower: loans.Borrower,
     ) -> None:
-        for permit in (take(borrower), take(borrower)):
+        for permit in (acquire(borrower), acquire(borrower)):
             assert permit is not None
             borrower.end(
                 permit,
