--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -32,14 +32,14 @@
 RECEIVE_TIMEOUT_S = 5.0
 # Keeps a peer that does not read from delaying a planned stop.
 CLOSE_TIMEOUT_S = 1.0
-RECONNECT_MIN_S = 0.2
-RECONNECT_MAX_S = 5.0
+INITIAL_RECONNECT_BACKOFF_S = 0.2
+MAX_RECONNECT_BACKOFF_S = 5.0
 # Of each pair, the host with the larger name waits for this time before it
 # dials, which avoids duplicate connections.
 LARGER_NAME_DIAL_DELAY_S = 0.3
 SEND_QUEUE_MESSAGES = 512
 SEND_QUEUE_BYTES = 4 * 1024 * 1024
-# Idle time-out of a connection opened for a request to a host to which the
+# Idle timeout of a connection opened for a request to a host to which the
 # topology does not connect this one.
 ON_DEMAND_IDLE_S = 30.0
 # Rate limit on heartbeats sent early after a change of state or catalogue
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -91,7 +91,7 @@
             host_count=lambda: self.roster.count,
         )
         self.sender = io_pool.PooledSender(timer=timer, names=names)
-        self.registry.on_removed.append(self.sender.forget)
+        self.registry.on_removed.append(self.sender.close_idle)
         self.listener = io_pipeline.CallerListener(
             handler=handler.ForwardingHandler(
                 forwarder=forwarder.Forwarder(
@@ -162,6 +162,7 @@
         await self._stop()
 
     async def _stop(self) -> None:
+        """Announce the stop, then close connections when they are idle."""
         started_at_s = self.timer.monotonic()
         close_at_s = started_at_s + self.settings.stop_grace_s - CLOSE_MARGIN_S
         _LOGGER.info(
