--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_guarantees_hold_under_faults(seed: int) -> None:
-    """Guards against violated guarantees under one or two faults at a time."""
+    """Guard against violated guarantees under one or two faults at a time."""
     world = world_module.run_seed(seed, faults.schedule, duration_s=38.0)
     assert not violations(world), world.fault_log
     # A run that serves little work would hardly test the guarantees.
@@ -43,7 +43,7 @@
 
 
 def test_seed_replays_to_the_same_history() -> None:
-    """Guards against failures that their seed does not reproduce."""
+    """Guard against failures that their seed does not reproduce."""
     first, second, other = (
         world_module.run_seed(seed, faults.schedule, duration_s=12.0)
         for seed in (5, 5, 6)
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("guard", GUARDS, ids=lambda guard: guard[2])
 def test_checker_reports_a_missing_guard(guard: Any) -> None:
-    """Guards against checks that cannot fail."""
+    """Guard against checks that cannot fail."""
     guarantee, owner, name, replacement, injected = guard
     assert guarantee not in violations_with_all_guards(injected)
     with (
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -82,7 +82,7 @@
 
 
 def test_change_is_in_force_on_every_host() -> None:
-    """Guards against a change that is reported as in force and is not."""
+    """Guard against a change that is reported as in force and is not."""
 
     async def scenario(running: fleet.Fleet) -> None:
         path = await write_region(running, max_in_flight=7)
@@ -106,7 +106,7 @@
 
 
 def test_paused_host_is_named_as_lagging() -> None:
-    """Guards against a change reported as in force despite a lagging host."""
+    """Guard against a change reported as in force despite a lagging host."""
 
     async def scenario(running: fleet.Fleet) -> None:
         running.signal("eh-tartu", signal.SIGSTOP)
@@ -126,7 +126,7 @@
 
 
 def test_two_operators_get_one_conflict() -> None:
-    """Guards against a change that silently overwrites another one."""
+    """Guard against a change that silently overwrites another one."""
 
     async def scenario(running: fleet.Fleet) -> None:
         paths = [
@@ -153,7 +153,7 @@
 
 
 def test_write_with_lost_answer_is_applied_once() -> None:
-    """Guards against a lost answer that causes a conflict or a second write.
+    """Guard against a lost answer that causes a conflict or a second write.
 
     The command cannot tell whether its write took effect, and tries again.
     """
@@ -173,7 +173,7 @@
 
 
 def test_host_with_wrong_secret_cannot_join() -> None:
-    """Guards against a host without the cluster secret in the mesh."""
+    """Guard against a host without the cluster secret in the mesh."""
 
     async def scenario(running: fleet.Fleet) -> None:
         await running.start_host("eh-tartu-2", wait=False)
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -37,7 +37,7 @@
 
 
 def test_region_is_shared_by_its_own_hosts_only() -> None:
-    """Guards against quota shares that hosts of other regions hold."""
+    """Guard against quota shares that hosts of other regions hold."""
 
     async def scenario(running: fleet.Fleet) -> None:
         async def holds_all() -> bool:
@@ -62,7 +62,7 @@
 
 
 def test_kill_of_an_entry_host_under_load() -> None:
-    """Guards against double runs and false refusals after a crash."""
+    """Guard against double runs and false refusals after a crash."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=1)
@@ -85,7 +85,7 @@
 
 
 def test_pause_longer_than_the_lease() -> None:
-    """Guards against a host that dispatches under an expired lease."""
+    """Guard against a host that dispatches under an expired lease."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=2)
@@ -106,7 +106,7 @@
 
 
 def test_planned_stop_under_load_interrupts_nothing() -> None:
-    """Guards against requests that a planned stop interrupts or refuses.
+    """Guard against requests that a planned stop interrupts or refuses.
 
     Requests run longer than LEAVING_MARGIN_S, the last wait before the stop
     refuses new work, and callers use look-up answers from before the stop.
@@ -130,7 +130,7 @@
 
 
 def test_tokens_issued_before_a_planned_stop_are_served() -> None:
-    """Guards against a stop that ends before issued tokens have been used.
+    """Guard against a stop that ends before issued tokens have been used.
 
     The requests start after the stop has begun and are still running when
     the entry host begins to refuse.
@@ -168,7 +168,7 @@
 
 
 def test_truncated_answers_and_reset_connections() -> None:
-    """Guards against truncated answers that are passed on, and double runs."""
+    """Guard against truncated answers that are passed on, and double runs."""
 
     async def scenario(running: fleet.Fleet) -> None:
         # Each truncated or reset attempt holds its slot until its deadline,
@@ -187,7 +187,7 @@
 
 
 def test_store_outage_longer_than_every_lease() -> None:
-    """Guards against hosts that block in an outage or do not recover."""
+    """Guard against hosts that block in an outage or do not recover."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=5)
@@ -218,7 +218,7 @@
 
 
 def test_leaving_server_gets_no_new_work() -> None:
-    """Guards against new work for a server that is known to be leaving."""
+    """Guard against new work for a server that is known to be leaving."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=7)
@@ -260,7 +260,7 @@
 
 
 def test_loss_and_recovery_of_a_region() -> None:
-    """Guards against a shift above its cap when a whole region fails."""
+    """Guard against a shift above its cap when a whole region fails."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=8)
@@ -297,7 +297,7 @@
 
 
 def test_flood_of_exports_does_not_displace_urgent_work() -> None:
-    """Guards against urgent work that waits behind a flood of exports."""
+    """Guard against urgent work that waits behind a flood of exports."""
 
     async def scenario(running: fleet.Fleet) -> None:
         load = harness.Load(running=running, seed=9)
--- a/tests/system/test_sessions.py
+++ b/tests/system/test_sessions.py
@@ -127,7 +127,7 @@
 
 
 def test_whole_session(snapshot: assertion.SnapshotAssertion) -> None:
-    """Guards against unintended changes of messages on the wire."""
+    """Guard against unintended changes of messages on the wire."""
 
     async def run() -> str:
         async with fleet.Fleet(hosts=HOSTS) as running:
@@ -140,6 +140,6 @@
 
 
 def test_masks_hide_only_what_differs() -> None:
-    """Guards against a golden file that hides a changed message."""
+    """Guard against a golden file that hides a changed message."""
     unmasked = "X-Request-Id: claim-7\nContent-Length: 8\nRetry-After: 1"
     assert recorder.mask(unmasked) == unmasked
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -30,10 +30,10 @@
 def test_guarantees_hold_under_faults(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against double runs, false refusals and mixed-up answers."""
+    """Guard against double runs, false refusals and mixed-up answers."""
     assert not run(seed, tmp_path, planned_only=False)
 
 
 def test_planned_stops_interrupt_nothing(tmp_path: pathlib.Path) -> None:
-    """Guards against requests lost in restarts, reloads and drains."""
+    """Guard against requests lost in restarts, reloads and drains."""
     assert not run(3, tmp_path, planned_only=True)
