--- a/src/samphirelug/components/peers/hosts.py
+++ b/src/samphirelug/components/peers/hosts.py
@@ -80,7 +80,7 @@
             reason = str(error.errors(include_url=False)[0]["msg"])
             if self.rejected.get(stored.key) != reason:
                 _LOGGER.warning(
-                    "Ignoring invalid host list %s: %s", stored.key, reason
+                    "ignoring invalid host list %s: %s", stored.key, reason
                 )
             self.rejected[stored.key] = reason
             return False
@@ -235,6 +235,6 @@
         return const.HOST_LIST_POLL_S * (0.5 + self.rng.random())
 
     def _retry_delay_s(self, refusal: result_codes.Refusal) -> float:
-        _LOGGER.info("Could not read the host list: %s", refusal.detail)
+        _LOGGER.info("could not read the host list: %s", refusal.detail)
         wait_s = max(const.HOST_LIST_RETRY_S, refusal.retry_after_s)
         return wait_s * (0.5 + self.rng.random())
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -376,7 +376,7 @@
         try:
             frame = codec.encode(message)
         except ValueError as error:
-            _LOGGER.error("Could not send a peer message: %s", error)
+            _LOGGER.error("could not send a peer message: %s", error)
             self._count_message(type(message).__name__, "too_large")
             return
         for connection in connections:
@@ -516,7 +516,7 @@
                 close_timeout=const.CLOSE_TIMEOUT_S,
             )
         except (*_TRANSPORT_ERRORS, ValueError) as error:
-            _LOGGER.debug("Could not connect to peer %s: %s", url, error)
+            _LOGGER.debug("could not connect to peer %s: %s", url, error)
             return False
         try:
             with self.handshake.join_deadline(websocket):
@@ -528,7 +528,7 @@
             await self._refuse_connection(websocket, error.refusal, url)
         except exceptions.ConnectionClosed as closed:
             _LOGGER.warning(
-                "Peer %s closed the connection during the handshake: %s",
+                "peer %s closed the connection during the handshake: %s",
                 url,
                 closed,
             )
@@ -599,7 +599,7 @@
         address: str,
     ) -> None:
         _LOGGER.warning(
-            "Refusing the connection with peer %s: %s", address, refusal.detail
+            "refusing the connection with peer %s: %s", address, refusal.detail
         )
         self._count_message("Hello", refusal.code.name.lower())
         # Result codes from 4000 are also valid private websocket close codes.
@@ -647,7 +647,7 @@
         if closed.rcvd is None or closed.rcvd.reason != _SUPERSEDED:
             return
         _LOGGER.error(
-            "A process started later uses the host name %s", self.host.name
+            "a process started later uses the host name %s", self.host.name
         )
         for callback in self.on_superseded:
             callback()
@@ -737,7 +737,7 @@
                         # Not counted by name, since peers could send any
                         # number of names and so of label values.
                         _LOGGER.info(
-                            "Ignoring peer message of unknown type %s", name
+                            "ignoring peer message of unknown type %s", name
                         )
                         self._count_message("unknown", "ignored")
                         continue
@@ -750,7 +750,7 @@
                         refusal = invalid
             self._count_message("invalid", refusal.code.name.lower())
             _LOGGER.warning(
-                "Closing the connection to peer %s: %s",
+                "closing the connection to peer %s: %s",
                 connection.host.name,
                 refusal.detail,
             )
@@ -822,7 +822,7 @@
         try:
             reply = await handler(name, frame.message)
         except Exception:
-            _LOGGER.exception("Error handling a message from peer %s", name)
+            _LOGGER.exception("error handling a message from peer %s", name)
             self._count_message(type(frame.message).__name__, "handler_failed")
             return
         finally:
@@ -835,7 +835,7 @@
             connection.put(codec.encode(reply, reply_to=frame.message_id))
         except ValueError as error:
             _LOGGER.error(
-                "Could not send the reply to peer %s: %s", name, error
+                "could not send the reply to peer %s: %s", name, error
             )
             self._count_message(type(reply).__name__, "too_large")
 
@@ -851,7 +851,7 @@
             return
         error = task.exception()
         if not isinstance(error, _TRANSPORT_ERRORS):
-            _LOGGER.error("Unexpected error in a peer task", exc_info=error)
+            _LOGGER.error("unexpected error in a peer task", exc_info=error)
 
     def _count_message(self, kind: str, outcome: str) -> None:
         if self.metrics is not None:
