--- a/tests/components/quota/test_ledger.py
+++ b/tests/components/quota/test_ledger.py
@@ -50,7 +50,7 @@
 
 
 def test_no_units_are_granted_under_an_expired_seat() -> None:
-    """Other hosts may use the units of an expired seat."""
+    """Guard against using units that other hosts may use after the expiry."""
     ledger, timer = make_ledger(valid_until_s=10.0)
     assert isinstance(ledger.try_hold(make_bundle(1)), Success)
     timer.advance(10.0)
@@ -60,7 +60,7 @@
 
 
 def test_loan_beyond_the_end_of_the_seat_is_refused() -> None:
-    """The borrower may dispatch until the loan ends, after the seat."""
+    """Guard against a borrower that dispatches after the seat has expired."""
     ledger, timer = make_ledger(valid_until_s=10.0)
     timer.advance(9.0)
     lent = ledger.lend(
@@ -70,7 +70,10 @@
 
 
 def test_borrowed_units_are_unusable_after_their_loan() -> None:
-    """The lender reuses the units one longest hold after the loan ends."""
+    """Guard against dispatches after a loan, when the lender reuses the units.
+
+    The lender reuses them one longest hold after the end of the loan.
+    """
     ledger, timer = make_ledger()
     units = (model.UnitAmount("region:r", 2),)
     ledger.borrow(units, loan_id="l", until_s=2.0)
@@ -101,7 +104,10 @@
 
 
 def test_unsettled_loan_is_released_after_the_longest_hold() -> None:
-    """A borrower's request may run until its deadline plus a margin."""
+    """Guard against reusing lent units while a borrower's request may run.
+
+    It may run until its deadline plus a margin.
+    """
     ledger, timer = make_ledger()
     assert ledger.lend(
         make_bundle(4, 4), loan_id="l", bundle_number=1, until_s=2.0
@@ -115,7 +121,7 @@
 
 
 def test_settling_is_idempotent_and_starts_the_release_delay() -> None:
-    """A GrantReturn message that arrives twice must not free units twice."""
+    """Guard against a GrantReturn message that frees units twice."""
     ledger, timer = make_ledger()
     for number in (1, 2):
         assert ledger.lend(
@@ -130,14 +136,14 @@
 
 
 def test_bundle_numbers_start_at_one() -> None:
-    """A borrower that numbers differently would settle the wrong bundle."""
+    """Guard against a borrower that settles the wrong bundle."""
     ledger, _ = make_ledger()
     with pytest.raises(ValueError, match="bundle number"):
         ledger.lend(make_bundle(1), loan_id="l", bundle_number=0, until_s=2.0)
 
 
 def test_lowered_limit_scales_units_before_the_next_renewal() -> None:
-    """A lowered limit must hold even while the store is unreachable."""
+    """Guard against exceeding a lowered limit during a store outage."""
     ledger, _ = make_ledger()
     holds = [ledger.try_hold(make_bundle(1)).unwrap() for _ in range(4)]
     ledger.set_limits(make_limits(3))
@@ -151,7 +157,7 @@
 
 
 def test_freed_units_trigger_the_callbacks() -> None:
-    """Queued requests wait for this callback and would starve without it."""
+    """Guard against queued requests that starve although units are free."""
     ledger, timer = make_ledger()
     calls: list[float] = []
     ledger.on_free.append(lambda: calls.append(timer.monotonic()))
@@ -274,7 +280,7 @@
 
 
 def test_hold_and_release_are_fast() -> None:
-    """A slow ledger would delay all requests, which share an event loop."""
+    """Guard against a slow ledger, which delays all requests of the loop."""
     ledger, _ = make_ledger()
     bundle = make_bundle(1)
     best_s = min(_mean_duration_s(ledger, bundle) for _ in range(5))
--- a/tests/components/quota/test_limits.py
+++ b/tests/components/quota/test_limits.py
@@ -9,7 +9,7 @@
 
 
 def test_every_key_of_a_bundle_has_a_limit_in_its_group() -> None:
-    """Requests would be refused if a key of their bundle had no limit."""
+    """Guard against refusals because a key of a bundle has no limit."""
     view = builders.make_view()
     by_key = limits.quota_limits(view)
     server = view.servers["filing-tartu-a-0"]
@@ -38,7 +38,7 @@
 
 
 def test_local_request_needs_no_shift_or_link_units() -> None:
-    """A local request must not consume the cap on shifted requests."""
+    """Guard against local requests that count towards the shift cap."""
     view = builders.make_view()
     bundle = limits.bundle_for(
         view=view,
@@ -56,7 +56,7 @@
 
 
 def test_hosts_share_the_groups_of_their_region_and_its_links() -> None:
-    """A host without a link's group could not send over that link."""
+    """Guard against a host that cannot send over a link of its region."""
     assert limits.groups_of(builders.make_view(), "parnu") == (
         "region/parnu",
         "link/parnu+tallinn",
@@ -66,7 +66,10 @@
 
 
 def test_shift_cap_holds_in_a_window_of_a_slower_clock() -> None:
-    """A release delay of just 5 s on a fast clock admits two bursts."""
+    """Guard against two bursts within the 5 s of a slower server clock.
+
+    A release delay of just 5 s on a fast clock would admit them.
+    """
     limit = limits.quota_limits(builders.make_view())["shift:tartu"]
     timer = timer_helper.ManualTimerService()
     ledger = quota_ledger.QuotaLedger(timer=timer)
--- a/tests/components/quota/test_link_bytes.py
+++ b/tests/components/quota/test_link_bytes.py
@@ -123,7 +123,10 @@
 
 @pytest.mark.parametrize("borrows_bundle", [True, False])
 def test_bundle_above_the_own_share_is_admitted(borrows_bundle: bool) -> None:
-    """Without a loan, an answer of 16 MiB at 300 Mbit/s waits forever."""
+    """Guard against an answer of 16 MiB at 300 Mbit/s that waits forever.
+
+    It needs more units than the host's own share, and thus a loan.
+    """
     view = builders.make_view()
     view.works["case-export"]["max_answer_bytes"] = 16 * 1024 * 1024
     needed = 16 * 1024 * 1024 + const.LINK_HEADER_BYTES
--- a/tests/components/quota/test_loans.py
+++ b/tests/components/quota/test_loans.py
@@ -115,7 +115,10 @@
 
 
 def test_bundle_is_reused_until_the_loan_ends() -> None:
-    """The loan ends earlier here: the lender times it from its answer."""
+    """Guard against a borrower that uses a bundle after the lender's end.
+
+    The loan ends earlier here: the lender times it from its answer.
+    """
 
     def check(
         host: simulation.Host, mesh: ScriptedMesh, borrower: loans.Borrower
@@ -139,7 +142,10 @@
 
 
 def test_paused_borrower_gets_no_permit_after_the_loan() -> None:
-    """The timer that returns the bundle runs late in a paused process."""
+    """Guard against a permit of an ended loan whose timer has not run yet.
+
+    The timer that returns the bundle runs late in a paused process.
+    """
 
     def check(
         host: simulation.Host,
@@ -153,7 +159,7 @@
 
 
 def test_bundle_with_a_release_delay_serves_one_request() -> None:
-    """Its link bytes are still in use when it could be reused."""
+    """Guard against reusing a bundle whose link bytes are still in use."""
 
     def check(
         host: simulation.Host, mesh: ScriptedMesh, borrower: loans.Borrower
@@ -170,7 +176,10 @@
 
 
 def test_bundle_of_orphaned_request_is_returned_after_deadline() -> None:
-    """The server may process it until the deadline plus a margin."""
+    """Guard against returning units while a server may process the request.
+
+    It may do so until the deadline plus a margin.
+    """
 
     def check(
         host: simulation.Host,
--- a/tests/components/quota/test_seat_keeper.py
+++ b/tests/components/quota/test_seat_keeper.py
@@ -119,7 +119,10 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_limits_hold_through_faults(seed: int) -> None:
-    """Faults must not let hosts use the same units, which fails the run."""
+    """Guard against faults that let two hosts use the same units.
+
+    The simulation fails the run if they do.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         rng = random.Random(seed)
@@ -139,7 +142,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_borrowed_bytes_do_not_exceed_a_link_limit(seed: int) -> None:
-    """Units must not be used by lender and borrower at the same time.
+    """Guard against units that lender and borrower use at the same time.
 
     Each request needs more bytes than its host's own share has.
     """
@@ -192,7 +195,7 @@
 
 
 def test_planned_stop_returns_all_units() -> None:
-    """Units of a stopped host would be unusable until the lease expires."""
+    """Guard against units of a stopped host that stay unusable for a lease."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -212,7 +215,7 @@
 
 
 def test_units_in_use_at_a_stop_are_freed_after_the_longest_hold() -> None:
-    """Waiting for the lease would leave them unusable for 900 s more."""
+    """Guard against units that stay unusable for a lease of 900 s more."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -237,7 +240,10 @@
 
 
 def test_restarted_host_takes_over_its_seat_after_the_longest_hold() -> None:
-    """Old requests may run that long; the lease would last 900 s."""
+    """Guard against a takeover while old requests may run, or 900 s later.
+
+    Old requests may run for the longest hold; the lease lasts 900 s.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -254,7 +260,10 @@
 
 
 def test_same_name_at_another_address_waits_for_the_lease() -> None:
-    """Binding another address does not prove that the old process ended."""
+    """Guard against a takeover from a process that may still run.
+
+    Binding another address does not prove that the old process ended.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -271,7 +280,7 @@
 
 
 def test_units_of_a_dead_host_are_freed_after_lease_and_hold() -> None:
-    """Its requests may run until then, and the units must not be lost."""
+    """Guard against units reused while requests may run, or never freed."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -286,7 +295,10 @@
 
 
 def test_expiry_of_a_long_lease_allows_for_clock_drift() -> None:
-    """A holder whose clock is 1 % slow uses its units 30 s longer."""
+    """Guard against reusing units that a holder with a slow clock still uses.
+
+    With a clock that is 1 % slow, it uses them 30 s longer.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         for name in ("eh1", "eh2"):
@@ -305,7 +317,7 @@
 
 
 def test_paused_holder_dispatches_nothing_after_its_lease() -> None:
-    """Other hosts have its units by the time it resumes."""
+    """Guard against a resumed host that uses units of other hosts."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -323,7 +335,7 @@
 
 
 def test_store_outage_beyond_the_lease_stops_use_until_it_ends() -> None:
-    """Other hosts may use the units once the lease has ended."""
+    """Guard against using units that others may use after the lease ended."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         start_all(sim)
@@ -342,7 +354,10 @@
 
 
 def test_units_given_back_by_a_pending_write_are_not_used() -> None:
-    """A write that lowers units may take effect after later ones are sent."""
+    """Guard against using units that a pending write may still give back.
+
+    A write that lowers units may take effect after later ones are sent.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         host = sim.start("eh1", ZONES["eh1"])
@@ -373,7 +388,10 @@
 
 
 def test_stale_read_of_a_table_changes_nothing() -> None:
-    """An old table has units that were given back, and no valid seat."""
+    """Guard against a stale read that restores old units or ends a seat.
+
+    An old table has units that were given back, or no valid seat.
+    """
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         core = store_standin.StoreCore()
@@ -415,7 +433,7 @@
 
 
 def test_region_without_entry_hosts_is_served_by_the_nearest() -> None:
-    """Its backend servers would be unreachable otherwise."""
+    """Guard against backend servers that no entry host can reach."""
 
     async def scenario(sim: simulation.QuotaSimulation) -> None:
         sim.start("eh1", ZONES["eh1"])
--- a/tests/components/quota/test_seats.py
+++ b/tests/components/quota/test_seats.py
@@ -53,7 +53,7 @@
 def test_weights_never_exceed_one(
     steps: list[tuple[str, int, int, int, bool]],
 ) -> None:
-    """Hosts that know different limits must not exceed the highest."""
+    """Guard against exceeding the highest of the limits that hosts know."""
     table = model.SeatTable(GROUP, {})
     for host, limit, units_in_use, other_count, leaving in steps:
         before = table.seats.get(host)
@@ -82,7 +82,7 @@
 
 @given(limit=st.integers(1, 50), count=st.integers(1, 12))
 def test_fair_shares_add_up_to_the_limit(limit: int, count: int) -> None:
-    """Units lost in rounding could never be used."""
+    """Guard against units that are lost in rounding and can never be used."""
     hosts = frozenset(f"eh{number}" for number in range(count))
     shares = [
         seats.fair_share(limits={"k": limit}, host=host, hosts=hosts)["k"]
@@ -113,7 +113,7 @@
     ],
 )
 def test_invalid_table_is_refused(changes: dict[str, object]) -> None:
-    """Planning on a damaged table could allocate units twice."""
+    """Guard against allocating units twice because of a damaged table."""
     value = {
         "keys": ["k"],
         "limits": [[2]],
@@ -125,7 +125,7 @@
 
 
 def test_excess_is_large_above_a_quarter_of_the_share() -> None:
-    """Otherwise every host of a large group would write for each new host."""
+    """Guard against a write by every host of a large group per new host."""
 
     def is_large(units: int, share: int) -> bool:
         seat = model.Seat("a", "a", "a", 1, {"k": units}, {"k": 100})
@@ -139,7 +139,7 @@
 
 
 def test_seat_expires_when_its_renewal_stops_changing() -> None:
-    """A seat must not expire while its holder renews it.
+    """Guard against a seat that expires while its holder renews it.
 
     Only the time since the last change counts, on the local clock.
     """
