--- a/src/samphirelug/components/backend/const.py
+++ b/src/samphirelug/components/backend/const.py
@@ -1,4 +1,4 @@
-"""Hold limits of requests and probes to backend servers."""
+"""Define limits of requests and probes to backend servers."""
 
 # A connection attempt that takes longer fails; another server is tried.
 CONNECT_TIMEOUT_S = 1.0
--- a/src/samphirelug/components/fleet/const.py
+++ b/src/samphirelug/components/fleet/const.py
@@ -1,4 +1,4 @@
-"""Define the notices and times used to detect failed entry hosts."""
+"""Define notices and times for the detection of failed entry hosts."""
 
 # Kinds of notices:
 # - BEAT is the heartbeat of a running host.
--- a/src/samphirelug/components/forwarding/const.py
+++ b/src/samphirelug/components/forwarding/const.py
@@ -1,4 +1,4 @@
-"""Define constants of request forwarding."""
+"""Define limits and times of request forwarding."""
 
 # Minimum remaining time for another attempt; with less it cannot succeed.
 MIN_ATTEMPT_TIME_S = 0.02
--- a/src/samphirelug/components/gateway/const.py
+++ b/src/samphirelug/components/gateway/const.py
@@ -1,4 +1,4 @@
-"""Hold limits of the listeners for callers."""
+"""Define limits of the listeners for callers."""
 
 from samphirelug import core
 
--- a/src/samphirelug/components/http/const.py
+++ b/src/samphirelug/components/http/const.py
@@ -1,4 +1,4 @@
-"""Hold limits of the HTTP connections to callers and backend servers."""
+"""Define limits of HTTP connections to callers and backend servers."""
 
 # Two attempts of this length fit into the connect timeout of callers. The
 # kernel would retransmit a lost SYN only after 1 s.
--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -1,4 +1,4 @@
-"""Define the limits and intervals of the mesh between entry hosts."""
+"""Define limits and intervals of the mesh between entry hosts."""
 
 # Protocol versions that this host supports. Version 1 is the first. Both ends
 # of a connection must support a common version.
--- a/src/samphirelug/components/placement/const.py
+++ b/src/samphirelug/components/placement/const.py
@@ -1,4 +1,4 @@
-"""Define thresholds for placement, refusals and retry times."""
+"""Define thresholds of placement, refusals and retry times."""
 
 # A server is full when its running and queued requests reach this multiple
 # of its slots. It exceeds 1 because a warm server frees a slot sooner than a
--- a/src/samphirelug/components/quota/const.py
+++ b/src/samphirelug/components/quota/const.py
@@ -1,4 +1,4 @@
-"""Define durations and sizes used in quota accounting."""
+"""Define durations and sizes of quota accounting."""
 
 from samphirelug import const
 
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -122,7 +122,7 @@
                 if limit.group.startswith("link/")
             }
         for group in groups:
-            self.allot_seat(group)
+            self.allocate_seat(group)
         self.health = steering_health.ServerHealth(timer=self.timer)
         self.fake_borrower = FakeBorrower()
         borrower: ports.UnitBorrower = self.fake_borrower
@@ -150,8 +150,8 @@
         )
         self.request_ids = iter(range(10**9))
 
-    def allot_seat(self, group: str) -> None:
-        """Allot all units of a group to this host."""
+    def allocate_seat(self, group: str) -> None:
+        """Allocate all units of a group to this host."""
         units = {
             key: limit.limit
             for key, limit in self.limits.items()
--- a/tests/components/admission/test_controller.py
+++ b/tests/components/admission/test_controller.py
@@ -127,7 +127,7 @@
             "work:case-status@tallinn"
         ]._replace(limit=1)
         harness.ledger.set_limits(harness.limits)
-        harness.allot_seat("region/tallinn")
+        harness.allocate_seat("region/tallinn")
         work = harness.catalogue.view.works["case-status"]
         other = work.copy()
         other["name"] = "case-lookup"
@@ -137,7 +137,7 @@
             "work:case-export@tallinn"
         ]._replace(key=key)
         harness.ledger.set_limits(harness.limits)
-        harness.allot_seat("region/tallinn")
+        harness.allocate_seat("region/tallinn")
         await harness.fill(1)
         over_limit = harness.submit(harness.request(INTERACTIVE))
         other_request = harness.submit(
