--- a/tests/history/hosts.py
+++ b/tests/history/hosts.py
@@ -42,6 +42,7 @@
 if TYPE_CHECKING:
     from tests.history import world as world_module
 
+# Shared by all simulated processes; the checks do not read it.
 METRICS = registry.Metrics()
 SECRET = "a secret of the test cluster"
 SEAT_LEASE_S = 8.0
@@ -221,6 +222,7 @@
             # A dead process receives no results, so this never returns.
             await waiter.future
         result = await call
+        # The answer takes 2 ms to arrive.
         self.process.world.loop.call_later(
             0.002, process.gate.post, waiter.resolve
         )
@@ -319,12 +321,14 @@
         self.world = world
         self.gate = kernel.Gate(world.loop)
         self.rng = random.Random(world.rng.getrandbits(64))
-        # The clock is up to 0.4 % fast or slow and has an origin of its own.
+        # The clock is up to 0.4 % fast or slow, so that two clocks differ by
+        # less than MAX_CLOCK_DRIFT, and has an origin of its own.
         rate, origin_s = self.rng.uniform(0.996, 1.004), 1e4 * start_number
         self.timer: Any = kernel.ProcessTimer(self.gate, rate, origin_s)
         host = builders.make_host(name, zone=zone)
         self.host = host._replace(incarnation=f"{name}#{start_number}")
         self.region = host.zone.region
+        # Addresses, ports and URLs are not used.
         self.settings = settings.EntryHostSettings(
             *(name, zone, self.region, "", "", (0, 0, 0), 0, 0, "", "c"),
             *(SECRET, (), SEAT_LEASE_S, LOOKUP_KEEP_S, 1.0, "ERROR"),
@@ -337,6 +341,7 @@
         self.last_known_hosts = {}
         self.stop_requested = asyncio.Event()
         self.tasks = set()
+        # Whether the listeners accept connections of callers.
         self.accepting = True
         listener = mock.MagicMock(close=mock.AsyncMock())
         listener.stop_accepting = lambda: setattr(self, "accepting", False)
@@ -404,7 +409,7 @@
     def receive_request(
         self,
         connection: Connection,
-        line: httputil.RequestStartLine,
+        start_line: httputil.RequestStartLine,
         headers: Mapping[str, str],
         rank: core.Rank,
     ) -> None:
@@ -412,11 +417,13 @@
         if not self.accepting:
             connection.reply(None)
             return
-        handler = exchange.CallerExchange(
+        caller_exchange = exchange.CallerExchange(
             service=self.service, rank=rank, connection=connection
         )
-        self.exchanges[connection] = handler
-        handler.headers_received(line, httputil.HTTPHeaders(dict(headers)))
+        self.exchanges[connection] = caller_exchange
+        caller_exchange.headers_received(
+            start_line, httputil.HTTPHeaders(dict(headers))
+        )
         if connection.work_id:
-            handler.data_received(connection.work_id.encode())
-        handler.finish()
+            caller_exchange.data_received(connection.work_id.encode())
+        caller_exchange.finish()
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -122,7 +122,7 @@
     )
 
 
-def decode_without_id(self: Any, encoded: str) -> Any:
+def decode_with_shared_id(self: Any, encoded: str) -> Any:
     """Decode all tokens for a work entry as if they had the same ID."""
     decoded = ORIGINAL_DECODE(self, encoded)
     return decoded.map(lambda token: token._replace(token_id=token.work))
@@ -150,7 +150,7 @@
     # Every host uses the whole limit instead of its share.
     ("P2", ledger.SeatState, "allocated", lambda *args: args[2], burst),
     ("P2", executor.Executor, "_finish", finish_as_complete, failing_servers),
-    ("P3", tokens.TokenIssuer, "decode", decode_without_id, do_nothing),
+    ("P3", tokens.TokenIssuer, "decode", decode_with_shared_id, do_nothing),
     ("P4", FailureKind, "certainly_not_run", True, failing_servers),
     ("P5", executor.Executor, "_run_once", run_without_claim, failing_servers),
     ("P6", health.ServerHealth, "_mark_leaving", ignore, drain_servers),
--- a/tests/history/world.py
+++ b/tests/history/world.py
@@ -232,6 +232,7 @@
         self.reset_callbacks[index] = reset
         duration_s = rng.uniform(0.05, 0.5)
         if rng.random() < self.failure_rate:
+            # Ends shortly before or after the deadline.
             duration_s = rng.uniform(remaining_s - 0.05, remaining_s + 0.2)
         # A server ends a run soon after the deadline of the request.
         duration_s = min(duration_s, remaining_s + 0.2)
@@ -340,6 +341,7 @@
         self.servers = {
             name: FakeServer(self, servers[name]) for name in servers
         }
+        # For the operators' commands, which are never paused.
         self.timer = kernel.ProcessTimer(kernel.Gate(loop), 1.0, 0.0)
 
     def now(self) -> float:
@@ -469,17 +471,17 @@
         def arrive() -> None:
             if process.gate.dead:
                 connection.reply(None)
-            start = httputil.RequestStartLine(*request_line, "HTTP/1.1")
+            start_line = httputil.RequestStartLine(*request_line, "HTTP/1.1")
             process.gate.post(
                 lambda: process.receive_request(
-                    connection, start, headers, work_class.rank
+                    connection, start_line, headers, work_class.rank
                 )
             )
 
         def disconnect() -> None:
-            handler = process.exchanges.pop(connection, None)
-            if handler is not None:
-                handler.on_connection_close()
+            caller_exchange = process.exchanges.pop(connection, None)
+            if caller_exchange is not None:
+                caller_exchange.on_connection_close()
 
         self.send_between(region, process.region, arrive)
         waiting = connection.waiter.future
