--- a/src/samphirelug/components/admission/model.py
+++ b/src/samphirelug/components/admission/model.py
@@ -16,7 +16,7 @@
 class Permit(NamedTuple):
     """Permit one dispatch of a request to one backend server."""
 
-    # Identifies the held units in the ledger, or the loan in the borrower.
+    # ID of the held units in the ledger, or of the loan in the borrower.
     hold_id: int
     bundle: quota_model.Bundle
     source: PermitSource
--- a/src/samphirelug/components/catalogue/schema.py
+++ b/src/samphirelug/components/catalogue/schema.py
@@ -29,7 +29,7 @@
 Entries = Mapping[str, Entry]
 
 KINDS = ("region", "link", "backend-service", "work")
-# Leaves room for the other fields of the stored object, and of a message
+# This leaves room for the other fields of the stored object, and of a message
 # between entry hosts, which has another encoding.
 MAX_ENTRY_BYTES = const.MAX_OBJECT_BYTES // 2
 # Longer values are cut off in error messages.
--- a/src/samphirelug/components/catalogue/sync.py
+++ b/src/samphirelug/components/catalogue/sync.py
@@ -43,7 +43,8 @@
 # Time to connect to peers and receive two heartbeats. A host that does not
 # know its peers ranks itself as a watcher, so all hosts would watch the store.
 START_GRACE_S = 1.5
-# Spreads the listings of a fleet whose hosts all start at the same time.
+# Upper bound of a random delay, which spreads the listings of a fleet whose
+# hosts all start at the same time.
 START_JITTER_S = 1.0
 # A starting watcher prefers a peer's catalogue for this long, since only peers
 # have the previous version of an entry whose latest version is invalid.
@@ -144,7 +145,7 @@
                 - max(self.last_update_at_s, last_fallback_at_s)
                 > fallback_wait_s
             ):
-                # Waits as long again even after a failure: most hosts do not
+                # The wait is as long after a failure, since most hosts do not
                 # watch, and all of them would retry while the store is down.
                 fallback_wait_s = self._draw_fallback_wait_s()
                 last_fallback_at_s = self.timer.monotonic()
@@ -216,7 +217,7 @@
         self.state.apply_listing(listing)
         self._finish_store_read(up_to_date)
         if not self.state.position:
-            # Avoids a busy loop while the store is empty.
+            # The wait avoids a busy loop while the store is empty.
             await self.timer.sleep(MAX_BACKOFF_S)
 
     def _apply_watch(self, listing: store_model.Listing, after: int) -> None:
--- a/src/samphirelug/components/catalogue/writer.py
+++ b/src/samphirelug/components/catalogue/writer.py
@@ -17,8 +17,8 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-# Limits how long an operator waits while answers are lost. If the store
-# answers, the outcome is known after the first few attempts.
+# This many attempts limit how long an operator waits while answers are lost.
+# If the store answers, the outcome is known after the first few.
 MAX_ATTEMPTS = 6
 INITIAL_RETRY_DELAY_S = 0.1
 # Entries refer only to entries of kinds with a lower number.
--- a/src/samphirelug/components/execution/const.py
+++ b/src/samphirelug/components/execution/const.py
@@ -8,7 +8,7 @@
 # requests could never retry.
 MIN_RETRIES_PER_S = 1.0
 MIN_RETRIES_BURST = 3.0
-# Limits the burst of retries after a long period with few failures.
+# This bound limits the burst of retries after a long period with few failures.
 MAX_RETRY_CREDIT = 100.0
 # Upper bound of the random delay before the second and each later retry,
 # which keeps many requests from retrying at the same moment.
--- a/src/samphirelug/components/execution/outcomes.py
+++ b/src/samphirelug/components/execution/outcomes.py
@@ -22,7 +22,7 @@
 class TokenEntry(NamedTuple):
     """Hold the state of one run token of this incarnation."""
 
-    # Identifies the request; empty for a token revoked before its use.
+    # Digest of the request; empty for a token revoked before its use.
     digest: bytes
     # None while the work is running.
     code: ResultCode | None
--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -67,7 +67,8 @@
         self.refusal_log = logging_helper.RefusalLog(
             timer_service=timer_service
         )
-        # Returns a refusal while the entry host accepts no new work.
+        # Function that returns a refusal while the entry host accepts no new
+        # work.
         self.host_refusal = host_refusal
         self.buffered_bytes = 0
         # Exchanges between the header block and the response.
--- a/src/samphirelug/components/peers/codec.py
+++ b/src/samphirelug/components/peers/codec.py
@@ -57,7 +57,8 @@
 )
 # Kept short, since the type takes most of the bytes of an unchanged heartbeat.
 _SPARSE_TYPE = "Beat"
-# Replaces "headroom" when only its amounts changed, in a fifth of the bytes.
+# Key that replaces "headroom" when only its amounts changed, in a fifth of
+# the bytes.
 _AMOUNTS = "amounts"
 
 
@@ -170,7 +171,7 @@
             for field, value in loaded.items()
             if field in _FIELDS["Heartbeat"]
         }
-        # Validates the changed fields only, since those of the previous
+        # Only the changed fields are validated, since those of the previous
         # heartbeat are valid. Validation is most of the cost of decoding in
         # a large fleet.
         try:
--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -30,7 +30,7 @@
 # A connection that receives nothing for this time is closed. Heartbeats are
 # sent every 0.5 s, so ten in a row were missed.
 RECEIVE_TIMEOUT_S = 5.0
-# Keeps a peer that does not read from delaying a planned stop.
+# A peer that does not read delays a planned stop by at most this time.
 CLOSE_TIMEOUT_S = 1.0
 INITIAL_RECONNECT_BACKOFF_S = 0.2
 MAX_RECONNECT_BACKOFF_S = 5.0
--- a/src/samphirelug/components/peers/hosts.py
+++ b/src/samphirelug/components/peers/hosts.py
@@ -64,7 +64,7 @@
         self.zones: dict[str, list[ListedHost]] = {}
         self.revisions: dict[str, int] = {}
         self.servers: dict[str, ListedServer] = {}
-        # Maps object keys to the reason why the latest value was rejected.
+        # Reason why the latest value was rejected, by object key.
         self.rejected: dict[str, str] = {}
 
     def apply(self, stored: store_model.StoredObject) -> bool:
@@ -171,7 +171,7 @@
             return await self._watch()
         if self._fits_full_mesh():
             return await self._list()
-        # Reads one zone without advancing watched_revision: a later watch has
+        # Reading one zone does not advance watched_revision: a later watch has
         # to continue from the last read of all zones.
         result = await self.store.get(_HOSTS_PREFIX + self.host.zone.name)
         match result:
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -77,7 +77,7 @@
             ),
         )
         self.membership = peer_membership.Membership(own=host)
-        # Maps seed URLs to the name of the host found there, once known.
+        # Name of the host found at each seed URL; empty if not known yet.
         self.seeds = {url: "" for url in seeds if url != host.peer_url}
         self.connections: dict[str, io_connection.PeerConnection] = {}
         self.on_members_changed: list[Callable[[], None]] = []
@@ -105,8 +105,8 @@
         # Hosts that this one dialled and whose handshake is in progress. A
         # seed URL and the host list may refer to the same host.
         self._handshakes_with: set[str] = set()
-        # Maps hosts dialled for a request to the time when the connection may
-        # be closed.
+        # Time when the connection to a host dialled for a request may be
+        # closed, by host.
         self._on_demand: dict[str, float] = {}
         self._connected_events: dict[str, asyncio.Event] = {}
         self._subscription: timer_helper.Subscription | None = None
--- a/src/samphirelug/components/peers/model.py
+++ b/src/samphirelug/components/peers/model.py
@@ -13,7 +13,8 @@
 from samphirelug.components.quota import model as quota_model
 from samphirelug import core
 
-# Rejects NaN, which would make every comparison of wait times false.
+# The bound also rejects NaN, which would make every comparison of wait times
+# false.
 WaitSeconds = Annotated[float, pydantic.Field(ge=0.0)]
 NonNegativeInt = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
 
@@ -155,7 +156,7 @@
     answer: core.Answer | None
     # Milliseconds left until the token expires.
     ttl_ms: int
-    # Identifies the request that used the token; empty if unknown.
+    # Digest of the request that used the token; empty if unknown.
     digest: bytes = b""
 
 
--- a/src/samphirelug/components/peers/relay.py
+++ b/src/samphirelug/components/peers/relay.py
@@ -233,7 +233,7 @@
         names = list(self.outboxes)
         if not names:
             return ()
-        # Rotates the order of the peers, so that the rate limits delay all of
+        # The order of the peers rotates, so that the rate limits delay all of
         # them equally.
         self._next_peer = (self._next_peer + 1) % len(names)
         rotation = names[self._next_peer :] + names[: self._next_peer]
--- a/src/samphirelug/components/placement/cold.py
+++ b/src/samphirelug/components/placement/cold.py
@@ -9,7 +9,8 @@
 import xxhash
 
 Incarnation = tuple[str, int]
-# Keeps the interval finite when a service is configured without a rate.
+# This minimum keeps the interval finite when a service is configured without
+# a rate.
 MIN_REQUESTS_PER_S = 0.01
 
 
--- a/src/samphirelug/components/quota/model.py
+++ b/src/samphirelug/components/quota/model.py
@@ -14,7 +14,7 @@
     """Limit the units of one key that may be in use at any moment."""
 
     key: str
-    # Names the seat table that divides the units: "region/<r>" or
+    # Name of the seat table that divides the units: "region/<r>" or
     # "link/<a>+<b>".
     group: str
     limit: int
--- a/src/samphirelug/components/routing/model.py
+++ b/src/samphirelug/components/routing/model.py
@@ -16,7 +16,7 @@
 
     name: str
     hostname: str
-    # Begins and ends with a slash.
+    # The prefix begins and ends with a slash.
     path_prefix: str
     idempotent: bool
     # A response is fully useful to the caller up to this latency.
--- a/src/samphirelug/components/steering/lookup.py
+++ b/src/samphirelug/components/steering/lookup.py
@@ -201,8 +201,8 @@
                 clock_ms=preferred.clock_ms,
                 home_region=home_region,
                 view=view,
-                # Expires with the candidates, so that an answer does not name
-                # a leaving host for longer.
+                # The answer expires with the candidates, so that it does not
+                # name a leaving host for longer.
                 valid_until_s=candidates.valid_until_s,
             )
         )
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -26,7 +26,7 @@
 
     server: str
     request_id: str
-    # Identifies the same piece of work across repeated requests.
+    # ID of a piece of work, the same for its repeated requests.
     work_id: str
     home_region: str
     at_s: float
--- a/standins/checks.py
+++ b/standins/checks.py
@@ -13,7 +13,7 @@
 class Call(NamedTuple):
     """Pair a caller's request with its result."""
 
-    # Identifies the same piece of work across repeated requests.
+    # ID of a piece of work, the same for its repeated requests.
     work_id: str
     body: str
     result: caller.CallResult
--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -42,8 +42,8 @@
         self.position = 1
         self.sent = self.received = 0
         self.sent_bytes = self.received_bytes = 0
-        # Maps servers to the time at which this host received a sighting of
-        # them first.
+        # Time at which this host first received a sighting of a server, by
+        # server.
         self.received_at: dict[str, float] = {}
 
     def heartbeat(self, now: float) -> model.Heartbeat:
@@ -242,8 +242,8 @@
     while fleet.now < 2.0:
         fleet.step()
     fleet.reset_counters()
-    # Simulates 20,000 catalogue changes a day and the sightings of 450 hosts a
-    # day that leave and return. Each host gets a change after 0.1 to 1.1 s.
+    # The load is 20,000 catalogue changes a day and the sightings of 450 hosts
+    # a day that leave and return. Each host gets a change after 0.1 to 1.1 s.
     change_s = 86_400 / 20_000
     sighting_s = 86_400 / 900
     start = fleet.now
--- a/standins/simulation/placement.py
+++ b/standins/simulation/placement.py
@@ -148,7 +148,8 @@
         self.kinds = kinds
         self.phases = phases
         self.now_s = 0.0
-        # Keeps events at the same time in the order of their scheduling.
+        # Numbers that keep events at the same time in the order of their
+        # scheduling.
         self.sequence = itertools.count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.outcomes: list[CallerOutcome] = []
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -90,7 +90,7 @@
         finally:
             self.running -= 1
         if self.rng.random() < self.lost_answer_rate:
-            # Outlasts the timeout of the routes: the entry host gives up and
+            # The delay exceeds the timeout of the routes. The entry host then
             # closes the connection, which cancels this handler.
             await asyncio.sleep(5.0)
         headers.append(("X-Samphirelug-Response-Seal", "seal"))
--- a/tests/components/catalogue/cluster.py
+++ b/tests/components/catalogue/cluster.py
@@ -170,7 +170,7 @@
                 )
                 for host in self.hosts.values():
                     host.heartbeat = host.make_heartbeat()
-            # Lets all tasks run until they wait for the clock again.
+            # All tasks run until they wait for the clock again.
             for _ in range(12):
                 await asyncio.sleep(0)
             for host in self.hosts.values():
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -46,7 +46,7 @@
         self, request: backend_model.BackendRequest, runs: dict[str, int]
     ) -> None:
         self.request = request
-        # Identifies the work of one run token or repeatable request.
+        # ID of the work of one run token or repeatable request.
         self.piece = request.body.decode()
         self.runs = runs
         self.result: asyncio.Future[Sent] = (
--- a/tests/components/placement/test_replay.py
+++ b/tests/components/placement/test_replay.py
@@ -32,7 +32,8 @@
     4.0,
 )
 BURST = replay.LoadPhase("lookup", 12.0, 16.0, 4.0)
-# Fills the servers of some objects, while other servers have free slots.
+# This load fills the servers of some objects, while other servers have free
+# slots.
 UNEVEN_BURST = replay.LoadPhase("lookup", 12.0, 16.0, 1.7)
 
 
--- a/tests/history/hosts.py
+++ b/tests/history/hosts.py
@@ -48,7 +48,7 @@
 SEAT_LEASE_S = 8.0
 LOOKUP_KEEP_S = 3.0
 ReplyCallback = Callable[[peers_model.Message | None], None] | None
-# Keeps references to tasks, since the event loop holds only weak ones.
+# References to all tasks, since the event loop holds only weak ones.
 TASKS: set[asyncio.Task[Any]] = set()
 
 
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -183,7 +183,7 @@
     assert guarantee not in violations_with_all_guards(injected)
     with (
         mock.patch.object(owner, name, replacement),
-        # Lets different requests use one token ID, which the comparison of
+        # Different requests may then use one token ID, which the comparison of
         # their digests would refuse.
         mock.patch.object(executor, "_digest", lambda _: b"same"),
     ):
--- a/tests/history/world.py
+++ b/tests/history/world.py
@@ -120,8 +120,8 @@
         # Whether the server refuses new work while it is leaving.
         self.refuses = False
         self.failure_rate = FAILURE_RATE
-        # Resets the connection of a run in progress, by the index of the run
-        # in the history.
+        # Callbacks that reset the connection of a run in progress, by the
+        # index of the run in the history.
         self.reset_callbacks: dict[int, Callable[[], None]] = {}
 
     def submit(
@@ -232,7 +232,7 @@
         self.reset_callbacks[index] = reset
         duration_s = rng.uniform(0.05, 0.5)
         if rng.random() < self.failure_rate:
-            # Ends shortly before or after the deadline.
+            # The run ends shortly before or after the deadline.
             duration_s = rng.uniform(remaining_s - 0.05, remaining_s + 0.2)
         # A server ends a run soon after the deadline of the request.
         duration_s = min(duration_s, remaining_s + 0.2)
@@ -536,7 +536,7 @@
             self.home_regions[work_id] = region
             targets = [rng.choice(names) if attempt else names[0]]
             if token and rng.random() < 0.15:
-                # Sends the request to two hosts at the same time.
+                # The request is sent to two hosts at the same time.
                 targets.append(rng.choice(names))
             headers = {
                 "X-Work-Id": work_id,
