--- a/src/samphirelug/helpers/loop_lag.py
+++ b/src/samphirelug/helpers/loop_lag.py
@@ -4,7 +4,7 @@
 
 SAMPLE_INTERVAL_S = 0.05
 # Factor by which the maximum decays with each sample.
-DECAY = 0.8
+DECAY_PER_SAMPLE = 0.8
 
 
 class LoopLagMonitor:
@@ -31,5 +31,5 @@
     def _sample(self) -> None:
         now = self.timer.monotonic()
         lag_s = max(0.0, now - self.expected_at_s)
-        self.lag_s = max(lag_s, self.lag_s * DECAY)
+        self.lag_s = max(lag_s, self.lag_s * DECAY_PER_SAMPLE)
         self.expected_at_s = now + SAMPLE_INTERVAL_S
--- a/tests/components/commands/test_explain.py
+++ b/tests/components/commands/test_explain.py
@@ -69,7 +69,9 @@
         attempts=[],
         status=503,
         code="OVERLOADED",
-        detail="no room: i-2 has 4.8 requests for 3 slots",
+        detail=(
+            "all candidate servers are full: i-2 has 4.8 requests for 3 slots"
+        ),
         retry_after_s=0.2,
     ),
 ]
--- a/tests/components/placement/test_replay.py
+++ b/tests/components/placement/test_replay.py
@@ -95,9 +95,9 @@
 
 
 def test_objects_keep_their_servers_warm() -> None:
-    """Load: requests for a few objects that warm servers handle faster.
+    """Guard against placement by load alone, which keeps every server cold.
 
-    Guard against placement by load alone, which keeps every server cold.
+    The load is requests for a few objects that warm servers handle faster.
     """
     by_object, by_load = replay_load(), replay_load(least_loaded=True)
     assert sum(report.affinity_misses for report in by_object) < 0.5 * sum(
@@ -109,9 +109,9 @@
 
 
 def test_burst_is_refused_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Load: a burst of four times the usual look-ups.
+    """Guard against queues so long that every request is answered late.
 
-    Guard against queues so long that every request is answered late.
+    The load is a burst of four times the usual look-ups.
     """
     bounded = replay_load(phases=[BURST])
     monkeypatch.setattr(const, "FULL_RATIO", 100.0)
@@ -122,9 +122,9 @@
 def test_second_server_takes_what_the_first_cannot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Load: an increase that fills only the servers of some objects.
+    """Guard against refusals while other servers have free slots.
 
-    Guard against refusals while other servers have free slots.
+    The load is an increase that fills only the servers of some objects.
     """
     two_servers = replay_load(phases=[UNEVEN_BURST])
     monkeypatch.setattr(const, "SERVERS_PER_OBJECT", 1)
@@ -140,10 +140,10 @@
 def test_load_reports_decay_no_faster_than_requests_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Load: ten hosts that each send a server little, and together too much.
+    """Guard against a host that ignores running requests of other hosts.
 
-    Guard against a host that ignores the requests of other hosts while they
-    still run, so that its own are queued behind them.
+    Its own requests are queued behind them. The load is ten hosts that each
+    send a server few requests, and together too many.
     """
     slow_decay = replay_load(phases=[BURST])
     monkeypatch.setattr(const, "REPORT_HALF_LIFE_FACTOR", 0.3)
@@ -154,9 +154,9 @@
 
 
 def test_refused_callers_do_not_retry_together() -> None:
-    """Load: callers that are refused in a burst and retry at the given time.
+    """Guard against a second burst at a retry time that all were given.
 
-    Guard against a second burst at a retry time that all were given.
+    The load is callers that are refused in a burst and retry at that time.
     """
     for report in replay_load(phases=[BURST]):
         times = sorted(report.retry_times_s)
