--- a/tests/platform_adapter/test_objects.py
+++ b/tests/platform_adapter/test_objects.py
@@ -185,7 +185,7 @@
 
 
 def test_invalid_settings_name_the_field(tmp_path: pathlib.Path) -> None:
-    """Guard against a failed start without the name of the wrong field."""
+    """Guard against a failed start that does not name the wrong field."""
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({"NodeName": "h1"}))
     refusal = settings.read(path).failure()
