--- a/src/samphirelug/components/admission/controller.py
+++ b/src/samphirelug/components/admission/controller.py
@@ -889,7 +889,7 @@
             wait_s = const.RETRY_AFTER_UNKNOWN_S
         return result_codes.Refusal(
             code,
-            f"{flow.rank.label} work {flow.key.work!r} finds no room:"
+            f"{flow.rank.label} work {flow.key.work!r} has no free capacity:"
             f" {shortage_code.name.lower()}, {flow.count} queued",
             wait_s,
         )
--- a/src/samphirelug/components/backend/io_client.py
+++ b/src/samphirelug/components/backend/io_client.py
@@ -299,7 +299,8 @@
         deadline = self.timer.call_at(
             when_s=request.deadline_at_s,
             callback=lambda: answer_reader.fail(
-                model.FailureKind.TIMEOUT, "no whole answer in time"
+                model.FailureKind.TIMEOUT,
+                "no complete answer before the deadline",
             ),
         )
         reading = asyncio.ensure_future(
--- a/src/samphirelug/components/commands/catalogue.py
+++ b/src/samphirelug/components/commands/catalogue.py
@@ -253,7 +253,7 @@
             if known_host is None or known_host["position"] < host["position"]:
                 hosts[host["name"]] = host
         for key, reason in url_status["rejected"].items():
-            typer.echo(f"{url} refused {key}: {reason}", err=True)
+            typer.echo(f"{url} rejected {key}: {reason}", err=True)
     output.print_table(
         ("name", "availability_zone", "position", "state"),
         [
--- a/src/samphirelug/components/commands/in_force.py
+++ b/src/samphirelug/components/commands/in_force.py
@@ -94,7 +94,7 @@
         if propagation.rejected:
             return result_codes.Refusal(
                 result_codes.ResultCode.NOT_IN_FORCE,
-                f"hosts refused {'; '.join(propagation.rejected)}",
+                f"hosts rejected {'; '.join(propagation.rejected)}",
             )
         if propagation.complete:
             return None
--- a/src/samphirelug/components/http/io_pool.py
+++ b/src/samphirelug/components/http/io_pool.py
@@ -178,7 +178,8 @@
         except TimeoutError:
             connection.reset()
             return _failure(
-                backend_model.FailureKind.TIMEOUT, "no whole answer in time"
+                backend_model.FailureKind.TIMEOUT,
+                "no complete answer before the deadline",
             )
         except httptools.HttpParserError as error:
             connection.reset()
--- a/tests/components/commands/test_catalogue.py
+++ b/tests/components/commands/test_catalogue.py
@@ -124,7 +124,7 @@
     )
     result = environment.catalogue("apply", ESTONIA, *wait)
     assert result.exit_code == 7
-    assert "hosts refused work/pay-fee: owner: is 1" in result.stderr
+    assert "hosts rejected work/pay-fee: owner: is 1" in result.stderr
     environment.entry_host.answers[STATUS_PATH] = (200, status_body(12, 12))
     # An entry host that does not answer may be isolated and still serve.
     unreachable_url = "http://127.0.0.1:1"
@@ -181,7 +181,7 @@
     result = environment.run(*command)
     assert result.exit_code == 0
     assert "eh2   tallinn-a          4         serving" in result.stdout
-    assert "refused work/w: owner: is 1" in result.stderr
+    assert "rejected work/w: owner: is 1" in result.stderr
     assert environment.run(*command, "--revision", "4").exit_code == 0
     result = environment.run(*command, "--revision", "5", "--json")
     assert result.exit_code == 7
--- a/tests/components/commands/test_explain.py
+++ b/tests/components/commands/test_explain.py
@@ -17,7 +17,7 @@
     "load_age_ms": 40,
     "took_ms": 900,
     "outcome": "timeout",
-    "detail": "no whole answer in time",
+    "detail": "no complete answer before the deadline",
 }
 
 
@@ -59,7 +59,7 @@
         attempts=[ATTEMPT],
         status=504,
         code="BACKEND_TIMEOUT",
-        detail="no whole answer in time",
+        detail="no complete answer before the deadline",
     ),
     log_line(
         30,
