--- a/standins/checks.py
+++ b/standins/checks.py
@@ -18,7 +18,7 @@
     body: str
     result: caller.CallResult
     # Region of the caller.
-    home: str
+    home_region: str
 
 
 class Interval(NamedTuple):
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -166,7 +166,7 @@
         rank: core.Rank = core.Rank.INTERACTIVE,
         *,
         work: str | None = None,
-        home: str = "tallinn",
+        home_region: str = "tallinn",
         deadline_s: float = 10.0,
         body: bytes = b"",
     ) -> core.CallerRequest:
@@ -181,7 +181,7 @@
             headers=(),
             body=body,
             deadline_at_s=self.timer.monotonic() + deadline_s,
-            home_region=home,
+            home_region=home_region,
             run_token=None,
         )
 
--- a/standins/simulation/quota.py
+++ b/standins/simulation/quota.py
@@ -303,21 +303,24 @@
             if rng.random() >= self.request_probability:
                 continue
             server = rng.choice(list(self.sim.view.servers.values()))
-            home = rng.choice(["tallinn", "tartu"])
-            bundle = self.make_bundle(server, self.region, home)
+            home_region = rng.choice(["tallinn", "tartu"])
+            bundle = self.make_bundle(server, self.region, home_region)
             hold = self.ledger.try_hold(bundle)
             if isinstance(hold, Success):
                 self.dispatch(bundle, hold.unwrap(), None)
                 continue
             region = rng.choice([self.region, server.zone.region])
             permit = self.borrower.try_acquire(
-                work="status", region=region, home_region=home, body_bytes=20
+                work="status",
+                region=region,
+                home_region=home_region,
+                body_bytes=20,
             )
             if permit is None:
                 self.borrower.request_bundles(
                     work="status",
                     region=region,
-                    home_region=home,
+                    home_region=home_region,
                     body_bytes=20,
                     count=2,
                 )
@@ -339,7 +342,7 @@
             self.borrower.request_units(key=key, needed=amount)
 
     def make_bundle(
-        self, server: core.BackendServer, host_region: str, home: str
+        self, server: core.BackendServer, host_region: str, home_region: str
     ) -> model.Bundle:
         view = self.sim.view
         return limits.bundle_for(
@@ -347,7 +350,7 @@
             work=view.works["status"],
             server=server,
             host_region=host_region,
-            home_region=home,
+            home_region=home_region,
             body_bytes=20,
         )
 
@@ -420,10 +423,10 @@
             model.UnitAmount(key, min(amount, self.ledger.free(key)))
             for key, amount in message.units
         )
-        is_collecting = any(
+        is_requesting = any(
             self.borrower.is_requesting_units(key) for key, _ in units
         )
-        can_lend = all(unit.amount for unit in units) and not is_collecting
+        can_lend = all(unit.amount for unit in units) and not is_requesting
         lent = can_lend and self.ledger.lend(
             units,
             loan_id=loan_id,
--- a/tests/components/quota/test_link_bytes.py
+++ b/tests/components/quota/test_link_bytes.py
@@ -29,7 +29,7 @@
         harness = simulation.Harness(seats=("tartu",))
         initial = harness.ledger.free(REQUEST_KEY)
         for traffic in (None, backend_model.Traffic()):
-            request = harness.request(home="tartu", body=b"x" * 100)
+            request = harness.request(home_region="tartu", body=b"x" * 100)
             outcome = await harness.admit(request)
             assert isinstance(outcome, Success)
             header_bytes = const.LINK_HEADER_BYTES
@@ -170,7 +170,7 @@
         harnesses["eh1"].ledger.try_hold(
             quota_model.Bundle("tallinn", "", (all_units,))
         )
-        request = harnesses["eh1"].request(core.Rank.EXPORT, home=home)
+        request = harnesses["eh1"].request(core.Rank.EXPORT, home_region=home)
         task = harnesses["eh1"].submit(request)
         await harnesses["eh1"].advance(3.0)
         remaining = sum(
--- a/tests/components/steering/test_planner.py
+++ b/tests/components/steering/test_planner.py
@@ -22,7 +22,7 @@
     """Guard against serving requests outside their home region."""
     harness = simulation.Harness()
     regions = harness.planner.regions_for_request(
-        harness.request(home="tartu")
+        harness.request(home_region="tartu")
     )
     assert regions[0] == "tartu"
     assert set(regions) == {"tallinn", "tartu", "parnu"}
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -288,9 +288,9 @@
         served = [
             call
             for call in load.calls
-            if call.result.name == "OK" and call.home == "tallinn"
+            if call.result.name == "OK" and call.home_region == "tallinn"
         ]
-        sent = [call for call in load.calls if call.home == "tallinn"]
+        sent = [call for call in load.calls if call.home_region == "tallinn"]
         assert len(served) == len(sent)
 
     run_fleet(scenario)
