--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -90,7 +90,7 @@
             for rank, name in enumerate(topology.watchers_of(zone, names)):
                 self.hosts[name].watcher = True
                 self.hosts[name].primary_watcher = rank == 0
-        # Hosts that are not watchers only connect to those of their zone.
+        # Other hosts than watchers connect only to the watchers of their zone.
         for node in nodes:
             simulated = self.hosts[node.name]
             members = self.zones[node.zone.name]
@@ -156,16 +156,16 @@
         if self.full_mesh:
             return
         for name, simulated in self.hosts.items():
-            zone: tuple[model.Heartbeat, ...] = ()
+            zone_heartbeats: tuple[model.Heartbeat, ...] = ()
             if simulated.primary_watcher:
-                zone = tuple(
+                zone_heartbeats = tuple(
                     member.heartbeat(self.now)
                     for member in self.zones[simulated.host.zone.name]
                     if member is not simulated
                 )
             for outgoing in simulated.relay.tick(
                 own_heartbeat=simulated.heartbeat(self.now),
-                zone_heartbeats=zone,
+                zone_heartbeats=zone_heartbeats,
                 build_summary=simulated.primary_watcher,
                 now=self.now,
             ):
@@ -183,12 +183,12 @@
         for simulated in self.hosts.values():
             if simulated.primary_watcher:
                 name = simulated.host.zone.name
-                zone = [
+                heartbeats = [
                     member.heartbeat(self.now) for member in self.zones[name]
                 ]
                 simulated.relay.tick(
-                    own_heartbeat=zone[0],
-                    zone_heartbeats=zone[1:],
+                    own_heartbeat=heartbeats[0],
+                    zone_heartbeats=heartbeats[1:],
                     build_summary=True,
                     now=0.0,
                 )
--- a/standins/simulation/placement.py
+++ b/standins/simulation/placement.py
@@ -311,8 +311,10 @@
         )
 
     def _refuse(self, request: _Request, retry_after_s: float) -> None:
-        left_s = request.first_sent_at_s + request.kind.deadline_s - self.now_s
-        wait_s = min(retry_after_s, left_s * MAX_RETRY_WAIT_SHARE)
+        remaining_s = (
+            request.first_sent_at_s + request.kind.deadline_s - self.now_s
+        )
+        wait_s = min(retry_after_s, remaining_s * MAX_RETRY_WAIT_SHARE)
         if request.is_retry or wait_s <= 0.0:
             self._record_outcome(request, "refused")
             return
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -53,7 +53,7 @@
             asyncio.ensure_future(
                 callers.Caller(
                     name=f"c{number}",
-                    lookups=lookup_addresses,
+                    lookup_addresses=lookup_addresses,
                     rng=random.Random(seed * 1000 + number),
                     outcomes=outcomes,
                 ).run(start_s + seconds + RECOVERY_S)
--- a/standins/soak/callers.py
+++ b/standins/soak/callers.py
@@ -14,7 +14,7 @@
 RESPONSE_SEAL = "x-samphirelug-response-seal"
 DEADLINE_MS = 2000
 ANSWER_TIMEOUT_S = 3.0
-# Statuses that promise that the request was not run.
+# Statuses that guarantee that the request was not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
@@ -42,12 +42,12 @@
         self,
         *,
         name: str,
-        lookups: list[tuple[str, int]],
+        lookup_addresses: list[tuple[str, int]],
         rng: random.Random,
         outcomes: list[Outcome],
     ) -> None:
         self.name = name
-        self.lookups = lookups
+        self.lookup_addresses = lookup_addresses
         self.rng = rng
         self.outcomes = outcomes
         self.request_numbers = itertools.count()
@@ -75,7 +75,7 @@
         ):
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
-                    *self.rng.choice(self.lookups)
+                    *self.rng.choice(self.lookup_addresses)
                 )
                 writer.write(
                     b"GET /-/resolve?Name=portal.example&Region=a&Zone=a1"
--- a/standins/soak/checks.py
+++ b/standins/soak/checks.py
@@ -6,10 +6,10 @@
 from standins.soak import callers
 from standins.soak import servers
 
-# The drain time in the settings of the entry hosts.
+# Drain time in the settings of the entry hosts; see HostProcess.settings.
 DRAIN_S = 2.5
-# Scheduling delay that a busy machine may add to it.
-SCHEDULING_S = 1.0
+# Scheduling delay that a busy machine may add to the drain time.
+MAX_SCHEDULING_DELAY_S = 1.0
 
 
 class PlannedPeriod(NamedTuple):
@@ -71,6 +71,6 @@
         found.extend(
             f"{request_id} reached {server} {late_s:.1f} s into its drain"
             for server, request_id, late_s in run_log.late_arrivals
-            if late_s > DRAIN_S + SCHEDULING_S
+            if late_s > DRAIN_S + MAX_SCHEDULING_DELAY_S
         )
     return found
--- a/standins/soak/faults.py
+++ b/standins/soak/faults.py
@@ -7,7 +7,7 @@
 
 from standins.soak import world as soak_world
 
-# A fault gets the deployment and how long it lasts in seconds.
+# Takes the deployment and the duration of the fault in seconds.
 Fault = Callable[[soak_world.World, float], Awaitable[None]]
 
 
@@ -54,7 +54,7 @@
 async def compact_store_history(
     world: soak_world.World, duration_s: float
 ) -> None:
-    """Let the store drop its change history, which ends all watches."""
+    """Let the store compact its history, which ends outdated watches."""
     del duration_s
     world.store.compact_history()
 
--- a/standins/soak/store.py
+++ b/standins/soak/store.py
@@ -67,7 +67,7 @@
         ]
 
     def compact_history(self) -> None:
-        """Compact the history; end running watches with status 410."""
+        """Drop all events; watches of older revisions get status 410."""
         self.history.clear()
         self.oldest_watchable = self.revision
         self._wake_watches()
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -46,8 +46,8 @@
         self, request: backend_model.BackendRequest, runs: dict[str, int]
     ) -> None:
         self.request = request
-        # Identifies the work of one run token or repeatable request.
-        self.piece = request.body.decode()
+        # Identifies the work of one run token or of one repeatable request.
+        self.work_id = request.body.decode()
         self.runs = runs
         self.result: asyncio.Future[Sent] = (
             asyncio.get_running_loop().create_future()
@@ -63,10 +63,10 @@
             return
         self.may_run = False
         self.ran_after_not_run_report = self.reported_not_run
-        self.runs[self.piece] = self.runs.get(self.piece, 0) + 1
+        self.runs[self.work_id] = self.runs.get(self.work_id, 0) + 1
 
     def reply(self, kind: FailureKind | None) -> None:
-        """Return an answer or a failure to the host."""
+        """Deliver an answer or a failure to the host."""
         if kind is not None and kind.certainly_not_run:
             # Work that was run cannot count as not sent or refused, so the
             # host sees a reset instead.
@@ -88,7 +88,7 @@
         return core.Answer(200, "OK", (), body, self.request.server.name)
 
 
-class Backend(client.BackendClient):
+class FakeBackendClient(client.BackendClient):
     """Hold attempts until the schedule decides their result."""
 
     def __init__(self, world: "World") -> None:
@@ -114,7 +114,7 @@
         raise NotImplementedError(server, health_path, timeout_s)
 
 
-class Admission:
+class FakeAdmission:
     """Admit as the schedule decides and check that permits end once."""
 
     def __init__(self) -> None:
@@ -176,7 +176,7 @@
         self.pending.pop(0).set_result(Success(permit))
 
 
-class Health:
+class FakeHealth:
     """Count attempts that have started but not ended."""
 
     def __init__(self) -> None:
@@ -202,15 +202,15 @@
         self.failures.append(failure)
 
 
-class Catalogue:
-    """Hold the small catalogue."""
+class FakeCatalogue:
+    """Provide a fixed view in place of the catalogue state."""
 
     def __init__(self) -> None:
         self.view: catalogue_view.CatalogueView = VIEW
         self.position = 1
 
 
-class Mesh(mesh.PeerMesh):
+class FakeMesh(mesh.PeerMesh):
     """Deliver or lose messages as the schedule decides."""
 
     def __init__(self, world: "World", name: str) -> None:
@@ -230,7 +230,7 @@
         self, host: str, message: peers_model.Message, *, timeout_s: float
     ) -> Result[peers_model.Message, result_codes.Refusal]:
         """Return the reply; fails when the schedule loses a message."""
-        done: asyncio.Future[
+        future: asyncio.Future[
             Result[peers_model.Message, result_codes.Refusal]
         ] = asyncio.get_running_loop().create_future()
 
@@ -240,18 +240,20 @@
                 return
             handler = peer.mesh.handlers[type(message)]
             reply = await handler(self.name, message)
-            if reply is not None and not reply_lost and not done.done():
-                done.set_result(Success(reply))
+            if reply is not None and not reply_lost and not future.done():
+                future.set_result(Success(reply))
 
         self.world.messages.append(deliver)
         timeout = self.world.clock.call_at(
             when_s=self.world.now() + timeout_s,
             callback=lambda: (
-                None if done.done() else done.set_result(Failure(UNREACHABLE))
+                None
+                if future.done()
+                else future.set_result(Failure(UNREACHABLE))
             ),
         )
         try:
-            return await done
+            return await future
         finally:
             timeout.cancel()
 
@@ -276,9 +278,9 @@
         self.identity = builders.make_host(name)._replace(
             incarnation=f"{name}-{number}"
         )
-        self.mesh = Mesh(world, name)
-        self.admission = Admission()
-        self.health = Health()
+        self.mesh = FakeMesh(world, name)
+        self.admission = FakeAdmission()
+        self.health = FakeHealth()
         self.outcomes = outcomes.OutcomeTable(
             host=self.identity,
             timer=world.clock,
@@ -287,9 +289,9 @@
             max_answer_bytes=world.max_answer_bytes,
         )
         self.executor = executor.Executor(
-            catalogue=Catalogue(),
+            catalogue=FakeCatalogue(),
             admission=self.admission,
-            backend=Backend(world),
+            backend=FakeBackendClient(world),
             health=self.health,
             outcomes=self.outcomes,
             issuer=world.issuer,
@@ -362,7 +364,7 @@
     def call(
         self,
         name: str,
-        piece: str,
+        work_id: str,
         token: str | None,
         *,
         timeout_s: float = 5.0,
@@ -376,51 +378,51 @@
             path="/claims",
             query="",
             headers=(),
-            body=piece.encode(),
+            body=work_id.encode(),
             deadline_at_s=self.now() + timeout_s,
             home_region="parnu",
             run_token=token,
         )
-        return self.track(self.hosts[name].executor.run(request), piece)
+        return self.track(self.hosts[name].executor.run(request), work_id)
 
     def query_outcome(
-        self, name: str, piece: str, token: str
+        self, name: str, work_id: str, token: str
     ) -> asyncio.Task[model.Outcome]:
-        """Ask a host for the outcome of a token and check the answer."""
-        return self.track(self.hosts[name].executor.outcome(token), piece)
+        """Query a host for the outcome of a token and check the answer."""
+        return self.track(self.hosts[name].executor.outcome(token), work_id)
 
     def track(
-        self, call: Coroutine[Any, Any, model.Outcome], piece: str
+        self, call: Coroutine[Any, Any, model.Outcome], work_id: str
     ) -> asyncio.Task[model.Outcome]:
         """Check the result of a call at the moment it is returned."""
 
         async def checked() -> model.Outcome:
             outcome = await call
-            self.check_outcome(outcome, piece)
+            self.check_outcome(outcome, work_id)
             return outcome
 
         task = asyncio.create_task(checked())
         self.tasks.append(task)
         return task
 
-    def check_outcome(self, outcome: model.Outcome, piece: str) -> None:
+    def check_outcome(self, outcome: model.Outcome, work_id: str) -> None:
         """Compare an answer with what the server has run so far."""
-        runs = self.runs.get(piece, 0)
+        runs = self.runs.get(work_id, 0)
         if isinstance(outcome, Success):
-            if outcome.unwrap().body != piece.encode() or runs == 0:
+            if outcome.unwrap().body != work_id.encode() or runs == 0:
                 self.errors.append(
-                    f"{piece}: wrong answer, or an answer without a run"
+                    f"{work_id}: wrong answer, or an answer without a run"
                 )
             return
         code = outcome.failure().code
         if code.effect is not Effect.NOT_RUN:
             return
         if runs:
-            self.errors.append(f"{piece}: {code.name} although it was run")
+            self.errors.append(f"{work_id}: {code.name} although it was run")
         if code in (ResultCode.TOKEN_REVOKED, ResultCode.TOKEN_EXPIRED):
-            self.must_not_run.add(piece)
+            self.must_not_run.add(work_id)
         for attempt in self.attempts:
-            attempt.reported_not_run |= attempt.piece == piece
+            attempt.reported_not_run |= attempt.work_id == work_id
 
     async def run_ready_tasks(self) -> None:
         """Run the event loop until all tasks wait for the schedule."""
@@ -430,16 +432,16 @@
     def violations(self, *, once: frozenset[str]) -> list[str]:
         """Return all violations of at-most-once seen so far."""
         found = list(self.errors)
-        for piece, runs in self.runs.items():
-            if piece in once and runs > 1:
-                found.append(f"{piece}: run {runs} times")
-            if piece in self.must_not_run:
+        for work_id, runs in self.runs.items():
+            if work_id in once and runs > 1:
+                found.append(f"{work_id}: run {runs} times")
+            if work_id in self.must_not_run:
                 found.append(
-                    f"{piece}: run after its token was reported as unusable"
+                    f"{work_id}: run after its token was reported as unusable"
                 )
         for attempt in self.attempts:
             if attempt.ran_after_not_run_report:
                 found.append(
-                    f"{attempt.piece}: run after it was reported as not run"
+                    f"{attempt.work_id}: run after it was reported as not run"
                 )
         return found
