--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -24,7 +24,7 @@
 
 # Long enough for a server to be drained and for a host to stop.
 GUARD_RUN_S = 10.0
-# Called by its replacement.
+# Called by its replacement, decode_with_shared_id().
 ORIGINAL_DECODE = tokens.TokenIssuer.decode
 
 
@@ -102,14 +102,14 @@
 
 
 def finish_as_complete(
-    self: Any, permit: Any, request: Any, **sent: Any
+    self: Any, permit: Any, request: Any, **arguments: Any
 ) -> None:
     """Release the permit as if the server had finished every attempt."""
     self.admission.finish(
         permit,
         ended=admission_model.PermitEnd.COMPLETE,
         request=request,
-        answer_bytes=sent["answer_bytes"],
+        answer_bytes=arguments["answer_bytes"],
     )
 
 
--- a/tests/history/world.py
+++ b/tests/history/world.py
@@ -525,14 +525,14 @@
     async def run_caller(self, work: str, region: str) -> None:
         """Request one piece of work, with up to three repeats."""
         self.work_count += 1
-        piece, rng, token_number = f"{work}/{self.work_count}", self.rng, 1
+        base_id, rng, token_number = f"{work}/{self.work_count}", self.rng, 1
         names, token = await self.look_up(work, region)
         for attempt in range(4):
             if not names:
                 return
             # Work without a run token may run several times, so each attempt
-            # counts as another piece of work.
-            work_id = piece if token else f"{piece}/{attempt}"
+            # counts as work of its own.
+            work_id = base_id if token else f"{base_id}/{attempt}"
             self.home_regions[work_id] = region
             targets = [rng.choice(names) if attempt else names[0]]
             if token and rng.random() < 0.15:
--- a/tests/system/harness.py
+++ b/tests/system/harness.py
@@ -21,7 +21,7 @@
 REGION_LIMIT = 12
 SHIFT_REQUESTS = 20
 SHIFT_INTERVAL_S = 5.0
-# Most repeats of a request whose outcome is not known.
+# Maximum number of repeats of a request whose outcome is not known.
 MAX_REPEATS = 40
 # Above the number of connections that a flood keeps open, since callers do
 # not wait for each other.
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -7,8 +7,8 @@
 
 from standins.soak import __main__ as soak_main
 
-SECONDS = 6.0
-HOSTS = 3
+DURATION_S = 6.0
+HOST_COUNT = 3
 
 
 def run(seed: int, folder: pathlib.Path, *, planned_only: bool) -> list[str]:
@@ -16,8 +16,8 @@
     report = asyncio.run(
         soak_main.soak(
             seed=seed,
-            seconds=SECONDS,
-            hosts=HOSTS,
+            seconds=DURATION_S,
+            hosts=HOST_COUNT,
             folder=folder,
             planned_only=planned_only,
         )
