--- a/benchmarks/baseline.py
+++ b/benchmarks/baseline.py
@@ -1,7 +1,7 @@
-"""Proxy requests round robin, without quotas or ranks, as a baseline.
+"""Proxy requests round robin and first come, first served, as a baseline.
 
-Benchmarks compare the system with this proxy. It speaks the protocol of
-callers, so that the same load can be sent to it.
+Benchmarks compare the system with this proxy, which has no quotas or ranks. It
+speaks the protocol of callers, so that the same load can be sent to it.
 """
 
 import asyncio
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -278,8 +278,8 @@
         host.heartbeat(number * 0.5)._replace(
             queued=(number % 9, 0, 0),
             headroom=tuple(
-                model.RegionHeadroom("r00", f"s{n}", number + n, 5)
-                for n in range(6)
+                model.RegionHeadroom("r00", f"s{index}", number + index, 5)
+                for index in range(6)
             ),
         )
         for number in range(500)
@@ -524,7 +524,7 @@
         ("zone lost: sighting s", capacity_faults.lose_zone),
         (
             "regions cut: bytes/s in it, after it, sighting s",
-            capacity_faults.cut_regions,
+            capacity_faults.partition_regions,
         ),
         ("host restarted: bytes, s", capacity_faults.restart_host),
     ):
--- a/benchmarks/capacity_faults.py
+++ b/benchmarks/capacity_faults.py
@@ -64,7 +64,7 @@
     return (sighting_delay_s(simulated_fleet, "after-loss"),)
 
 
-def cut_regions(size: int) -> tuple[float, float, float]:
+def partition_regions(size: int) -> tuple[float, float, float]:
     """Partition the regions into two halves and join them again.
 
     Returns the peak traffic in bytes per second during and after the
@@ -112,7 +112,9 @@
     simulated_fleet.warm_up()
     advance(simulated_fleet, 2.0)
     name = next(
-        n for n, host in simulated_fleet.hosts.items() if not host.watcher
+        host_name
+        for host_name, host in simulated_fleet.hosts.items()
+        if not host.watcher
     )
     previous = simulated_fleet.hosts[name]
     restarted = fleet.SimulatedHost(
--- a/benchmarks/capacity_store.py
+++ b/benchmarks/capacity_store.py
@@ -32,7 +32,11 @@
     count = 0
     for start in range(0, size, fleet.HOSTS_PER_ZONE):
         zone = f"z{start:04}"
-        names = [f"eh-{n:04}" for n in range(start, start + 31) if n < size]
+        names = [
+            f"eh-{number:04}"
+            for number in range(start, start + 31)
+            if number < size
+        ]
         watchers = topology.watchers_of(zone, names)
         for name in names:
             known = names if name in watchers else {name, *watchers}
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -12,7 +12,7 @@
 CHANGES = 5
 STORE_DELAY_S = 0.5
 OUTAGE_S = 6.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 TIMEOUT_S = 60.0
 
 
@@ -64,7 +64,7 @@
             positions = await self.positions()
             if min(positions) > max(before):
                 return TIMER.monotonic() - started_s
-            await TIMER.sleep(POLL_S)
+            await TIMER.sleep(POLL_INTERVAL_S)
         return TIMEOUT_S
 
 
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -24,7 +24,7 @@
 CALLERS_PER_GENERATOR = 12
 # CPU use from which on a process counts as the bottleneck of a measurement.
 BUSY_CORES = 0.9
-# 99th percentile of lateness above which a generator counts as one.
+# 99th percentile of lateness above which a generator counts as the bottleneck.
 MAX_LATENESS_S = 0.05
 # Time for the generators to start before the first request is due.
 START_DELAY_S = 4.0
@@ -291,7 +291,7 @@
             # repeatable work may have run.
             if record.once or (record.attempts <= 1 and not record.repeats)
         ]
-        once = [record.work_id for record in records if record.once]
+        run_once_ids = [record.work_id for record in records if record.once]
         regions_over = shifts_over = 0
         for region, entry in self.regions.items():
             cap = entry["shift_cap"]
@@ -303,7 +303,7 @@
             "overfull servers": len(checks.overfull_servers(reports)),
             "overfull regions": regions_over,
             "shift caps passed": shifts_over,
-            "double runs": len(checks.double_runs(reports, once)),
+            "double runs": len(checks.double_runs(reports, run_once_ids)),
             "false not run": len(checks.false_not_run(reports, calls)),
             "cut or wrong answers": sum(record.wrong for record in records),
             "no answer": sum(record.status == 0 for record in records),
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -14,7 +14,7 @@
 LOAD_S = 50.0
 DRAINED_SERVERS = 4
 OBSERVATION_S = 6.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class Drain(NamedTuple):
@@ -41,7 +41,7 @@
     last_request_s = 0.0
     refused = refused_before
     while TIMER.monotonic() - started_s < OBSERVATION_S:
-        await TIMER.sleep(POLL_S)
+        await TIMER.sleep(POLL_INTERVAL_S)
         current = (await deployment.fleet.get_json(url))["refused"]
         if current > refused:
             refused = current
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -1,8 +1,7 @@
 """Serve fake backend servers in which requests queue for a slot.
 
 The server in standins runs any number of requests at once and reports how
-many. The baseline proxy does not know the slots, so that they must be enforced
-here.
+many. The baseline proxy does not know the slots, so this module enforces them.
 """
 
 import asyncio
@@ -13,7 +12,7 @@
 from standins import backend_server
 
 _SEMAPHORES: dict[str, asyncio.Semaphore] = {}
-_PROCESS = backend_server.WorkHandler._process
+_ORIGINAL_PROCESS = backend_server.WorkHandler._process
 
 
 async def _process_in_slot(
@@ -24,7 +23,7 @@
         server.name, asyncio.Semaphore(server.slots)
     )
     async with slots:
-        await _PROCESS(handler, faults)
+        await _ORIGINAL_PROCESS(handler, faults)
 
 
 if __name__ == "__main__":
