--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -478,7 +478,7 @@
         ]
         mesh.heartbeats = heartbeats[1:]
         planner = lookup.LookupPlanner(
-            catalogue=harness.Catalogue(builders.make_view()),
+            catalogue=harness.FakeCatalogue(builders.make_view()),
             mesh=mesh,
             issuer=tokens.TokenIssuer(secret="s" * 32, timer=clock),
             own_heartbeat=partial(heartbeats.__getitem__, 0),
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -88,7 +88,7 @@
             callback()
 
 
-class Catalogue:
+class FakeCatalogue:
     """Provide a fixed view in place of the catalogue state."""
 
     def __init__(self, view: catalogue_view.CatalogueView) -> None:
@@ -110,7 +110,7 @@
     ) -> None:
         self.timer = timer or timer_helper.ManualTimerService(start_s=100.0)
         self.rng = random.Random(seed)
-        self.catalogue = Catalogue(view or builders.make_view())
+        self.catalogue = FakeCatalogue(view or builders.make_view())
         self.ledger = quota_ledger.QuotaLedger(timer=self.timer)
         self.limits = limits.quota_limits(self.catalogue.view)
         self.ledger.set_limits(self.limits)
--- a/tests/components/execution/world.py
+++ b/tests/components/execution/world.py
@@ -58,7 +58,7 @@
         self.ran_after_not_run_report = False
 
     def run(self) -> None:
-        """Run the work on the server, even if the host has given up."""
+        """Run the work on the server, even if the host no longer waits."""
         if not self.may_run:
             return
         self.may_run = False
--- a/tests/components/steering/test_lookup.py
+++ b/tests/components/steering/test_lookup.py
@@ -37,7 +37,7 @@
         self.issuer = fakes.FakeIssuer()
         self.own = make_heartbeat("eh1", "tallinn-a")
         self.planner = lookup.LookupPlanner(
-            catalogue=simulation.Catalogue(builders.make_view()),
+            catalogue=simulation.FakeCatalogue(builders.make_view()),
             mesh=self.mesh,
             issuer=self.issuer,
             own_heartbeat=lambda: self.own,
