--- a/src/samphirelug/components/gateway/service.py
+++ b/src/samphirelug/components/gateway/service.py
@@ -67,7 +67,8 @@
         self.refusal_log = logging_helper.RefusalLog(
             timer_service=timer_service
         )
-        # Returns a refusal while the entry host accepts no new work.
+        # Function that returns a refusal while the entry host accepts no new
+        # work.
         self.host_refusal = host_refusal
         self.buffered_bytes = 0
         # Exchanges between the header block and the response.
@@ -177,7 +178,7 @@
         if work is None:
             return result_codes.Refusal(
                 result_codes.ResultCode.UNKNOWN_WORK,
-                f"no work entry {route.work[:63]!r}",
+                f"the catalogue has no work entry {route.work[:63]!r}",
             )
         if work["work_class"].rank is not rank:
             return result_codes.Refusal(
@@ -202,7 +203,7 @@
     def _memory_refusal(
         self, fields: Mapping[str, str]
     ) -> result_codes.Refusal:
-        """Return a refusal whose code tells whether the work may have run."""
+        """Return a refusal; ENTRY_HOST_LOST if the work may have run."""
         code = result_codes.ResultCode.OVERLOADED
         if self._may_have_run(fields):
             code = result_codes.ResultCode.ENTRY_HOST_LOST
--- a/src/samphirelug/components/peers/const.py
+++ b/src/samphirelug/components/peers/const.py
@@ -1,4 +1,4 @@
-"""Define the limits and intervals of the mesh between entry hosts."""
+"""Define limits and intervals of the mesh between entry hosts."""
 
 # Protocol versions that this host supports. Version 1 is the first. Both ends
 # of a connection must support a common version.
@@ -30,16 +30,16 @@
 # A connection that receives nothing for this time is closed. Heartbeats are
 # sent every 0.5 s, so ten in a row were missed.
 RECEIVE_TIMEOUT_S = 5.0
-# Keeps a peer that does not read from delaying a planned stop.
+# A peer that does not read delays a planned stop by at most this time.
 CLOSE_TIMEOUT_S = 1.0
-RECONNECT_MIN_S = 0.2
-RECONNECT_MAX_S = 5.0
+INITIAL_RECONNECT_BACKOFF_S = 0.2
+MAX_RECONNECT_BACKOFF_S = 5.0
 # Of each pair, the host with the larger name waits for this time before it
 # dials, which avoids duplicate connections.
 LARGER_NAME_DIAL_DELAY_S = 0.3
 SEND_QUEUE_MESSAGES = 512
 SEND_QUEUE_BYTES = 4 * 1024 * 1024
-# Idle time-out of a connection opened for a request to a host to which the
+# Idle timeout of a connection opened for a request to a host to which the
 # topology does not connect this one.
 ON_DEMAND_IDLE_S = 30.0
 # Rate limit on heartbeats sent early after a change of state or catalogue
@@ -79,8 +79,8 @@
 SUMMARY_ENTRY_HOSTS = 2
 # Upper bound on the relative difference in speed of two hosts' clocks.
 MAX_CLOCK_DRIFT = 0.01
-# Rate limits on relayed traffic during a flood of sightings. A watcher has
-# about 50 peers, so ordinary ticks stay below them.
+# Rate limits on relayed traffic, for bursts of sightings. A watcher has about
+# 50 peers, so ordinary ticks stay below them.
 RELAY_MAX_MESSAGES_PER_S = 240
 RELAY_MAX_BYTES_PER_S = 256 * 1024
 # Equal sightings from several hosts within this time are forwarded once.
--- a/src/samphirelug/components/peers/hosts.py
+++ b/src/samphirelug/components/peers/hosts.py
@@ -22,7 +22,7 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-_LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 _HOSTS_PREFIX = "hosts/"
 
 
@@ -41,7 +41,7 @@
     hosts: list[ListedHost]
 
 
-class ServerState(NamedTuple):
+class ListedServer(NamedTuple):
     """Report a backend server's state in the host list."""
 
     server: str
@@ -63,8 +63,8 @@
     def __init__(self) -> None:
         self.zones: dict[str, list[ListedHost]] = {}
         self.revisions: dict[str, int] = {}
-        self.servers: dict[str, ServerState] = {}
-        # Maps object keys to the reason why the latest value was rejected.
+        self.servers: dict[str, ListedServer] = {}
+        # Reason why the latest value was rejected, by object key.
         self.rejected: dict[str, str] = {}
 
     def apply(self, stored: store_model.StoredObject) -> bool:
@@ -79,8 +79,8 @@
         except pydantic.ValidationError as error:
             reason = str(error.errors(include_url=False)[0]["msg"])
             if self.rejected.get(stored.key) != reason:
-                _LOG.warning(
-                    "Ignoring invalid host list %s: %s", stored.key, reason
+                _LOGGER.warning(
+                    "ignoring invalid host list %s: %s", stored.key, reason
                 )
             self.rejected[stored.key] = reason
             return False
@@ -117,11 +117,11 @@
     def _set_server(self, listed: ListedHost, revision: int) -> None:
         leaving = listed["state"] == "leaving"
         previous = self.servers.get(listed["name"])
-        changed = revision
+        changed_revision = revision
         if previous is not None and previous.leaving is leaving:
-            changed = previous.changed_revision
-        self.servers[listed["name"]] = ServerState(
-            listed["name"], leaving, revision, changed
+            changed_revision = previous.changed_revision
+        self.servers[listed["name"]] = ListedServer(
+            listed["name"], leaving, revision, changed_revision
         )
 
 
@@ -144,7 +144,7 @@
         is_watcher: Callable[[], bool],
         region_of: Callable[[str], str | None],
         on_entry_hosts: Callable[[tuple[core.EntryHost, ...]], None],
-        on_servers: Callable[[tuple[ServerState, ...]], None],
+        on_servers: Callable[[tuple[ListedServer, ...]], None],
     ) -> None:
         self.store = store
         self.timer = timer
@@ -171,7 +171,7 @@
             return await self._watch()
         if self._fits_full_mesh():
             return await self._list()
-        # Reads one zone without advancing watched_revision: a later watch has
+        # Reading one zone does not advance watched_revision: a later watch has
         # to continue from the last read of all zones.
         result = await self.store.get(_HOSTS_PREFIX + self.host.zone.name)
         match result:
@@ -235,6 +235,6 @@
         return const.HOST_LIST_POLL_S * (0.5 + self.rng.random())
 
     def _retry_delay_s(self, refusal: result_codes.Refusal) -> float:
-        _LOG.info("Could not read the host list: %s", refusal.detail)
+        _LOGGER.info("could not read the host list: %s", refusal.detail)
         wait_s = max(const.HOST_LIST_RETRY_S, refusal.retry_after_s)
         return wait_s * (0.5 + self.rng.random())
--- a/src/samphirelug/components/peers/io_mesh.py
+++ b/src/samphirelug/components/peers/io_mesh.py
@@ -34,7 +34,7 @@
 from samphirelug.helpers import timer as timer_helper
 from samphirelug import result_codes
 
-_LOG = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 _Code = result_codes.ResultCode
 _HANDSHAKE = (model.Challenge, model.Hello, model.Welcome)
 # Close reason if two hosts already have a connection to each other; peers
@@ -77,7 +77,7 @@
             ),
         )
         self.membership = peer_membership.Membership(own=host)
-        # Maps seed URLs to the name of the host found there, once known.
+        # Name of the host found at each seed URL; empty if not known yet.
         self.seeds = {url: "" for url in seeds if url != host.peer_url}
         self.connections: dict[str, io_connection.PeerConnection] = {}
         self.on_members_changed: list[Callable[[], None]] = []
@@ -105,14 +105,14 @@
         # Hosts that this one dialled and whose handshake is in progress. A
         # seed URL and the host list may refer to the same host.
         self._handshakes_with: set[str] = set()
-        # Maps hosts dialled for a request to the time when the connection may
-        # be closed.
+        # Time when the connection to a host dialled for a request may be
+        # closed, by host.
         self._on_demand: dict[str, float] = {}
         self._connected_events: dict[str, asyncio.Event] = {}
         self._subscription: timer_helper.Subscription | None = None
         self._relay_subscription: timer_helper.Subscription | None = None
         self._server: server.Server | None = None
-        self._last_heartbeat_s = float("-inf")
+        self._last_heartbeat_at_s = float("-inf")
         # Heartbeat whose amounts were last sent to the peers.
         self._amounts_heartbeat: model.Heartbeat | None = None
         self._amounts_at_s = float("-inf")
@@ -282,14 +282,14 @@
         requested sooner is sent when this time is over.
         """
         now = self.timer.monotonic()
-        due_s = self._last_heartbeat_s + const.HEARTBEAT_MIN_INTERVAL_S
-        if now < due_s:
+        due_at_s = self._last_heartbeat_at_s + const.HEARTBEAT_MIN_INTERVAL_S
+        if now < due_at_s:
             if self._early_heartbeat is None and not self._stopped:
                 self._early_heartbeat = self.timer.call_at(
-                    when_s=due_s, callback=self._send_early
+                    when_s=due_at_s, callback=self._send_early
                 )
             return
-        self._last_heartbeat_s = now
+        self._last_heartbeat_at_s = now
         heartbeat = self._throttle_amounts(self.heartbeat(), now)
         for connection in self.connections.values():
             connection.put_heartbeat(heartbeat)
@@ -299,8 +299,8 @@
     ) -> model.Heartbeat:
         """Return the heartbeat, with the last amounts until others are due."""
         last = self._amounts_heartbeat
-        due_s = self._amounts_at_s + const.AMOUNTS_INTERVAL_S
-        if last is None or now >= due_s or self._is_full_mesh():
+        due_at_s = self._amounts_at_s + const.AMOUNTS_INTERVAL_S
+        if last is None or now >= due_at_s or self._is_full_mesh():
             self._amounts_heartbeat, self._amounts_at_s = heartbeat, now
             return heartbeat
         return heartbeat._replace(
@@ -345,8 +345,8 @@
             others=others,
         )
         for outgoing in self.relay.tick(
-            own=self.heartbeat(),
-            zone=(
+            own_heartbeat=self.heartbeat(),
+            zone_heartbeats=(
                 heartbeat
                 for member in self.membership.live(now=now)
                 if member.host.zone.name == own_zone
@@ -376,7 +376,7 @@
         try:
             frame = codec.encode(message)
         except ValueError as error:
-            _LOG.error("Could not send a peer message: %s", error)
+            _LOGGER.error("could not send a peer message: %s", error)
             self._count_message(type(message).__name__, "too_large")
             return
         for connection in connections:
@@ -477,29 +477,29 @@
             await self.timer.sleep(
                 const.LARGER_NAME_DIAL_DELAY_S * (1 + self.rng.random())
             )
-        delay_s = const.RECONNECT_MIN_S
+        delay_s = const.INITIAL_RECONNECT_BACKOFF_S
         while True:
             if name not in self.connections:
                 member = self.membership.members.get(name)
                 url = member.host.peer_url if member is not None else ""
                 if url and await self._dial(url, name):
-                    delay_s = const.RECONNECT_MIN_S
+                    delay_s = const.INITIAL_RECONNECT_BACKOFF_S
                 elif name not in self.connections:
                     self.membership.record_dial_failure(
                         name, now=self.timer.monotonic()
                     )
-                    delay_s = min(2 * delay_s, const.RECONNECT_MAX_S)
+                    delay_s = min(2 * delay_s, const.MAX_RECONNECT_BACKOFF_S)
             await self.timer.sleep(delay_s * (0.5 + self.rng.random()))
 
     async def _maintain_seed(self, url: str) -> None:
-        delay_s = const.RECONNECT_MIN_S
+        delay_s = const.INITIAL_RECONNECT_BACKOFF_S
         while self.seeds[url] != self.host.name:
             if self.seeds[url] not in self.connections and not (
                 await self._dial(url, "")
             ):
-                delay_s = min(2 * delay_s, const.RECONNECT_MAX_S)
+                delay_s = min(2 * delay_s, const.MAX_RECONNECT_BACKOFF_S)
             else:
-                delay_s = const.RECONNECT_MIN_S
+                delay_s = const.INITIAL_RECONNECT_BACKOFF_S
             await self.timer.sleep(delay_s * (0.5 + self.rng.random()))
 
     async def _dial(self, url: str, name: str) -> bool:
@@ -516,7 +516,7 @@
                 close_timeout=const.CLOSE_TIMEOUT_S,
             )
         except (*_TRANSPORT_ERRORS, ValueError) as error:
-            _LOG.debug("Could not connect to peer %s: %s", url, error)
+            _LOGGER.debug("could not connect to peer %s: %s", url, error)
             return False
         try:
             with self.handshake.join_deadline(websocket):
@@ -527,8 +527,8 @@
         except io_handshake.HandshakeError as error:
             await self._refuse_connection(websocket, error.refusal, url)
         except exceptions.ConnectionClosed as closed:
-            _LOG.warning(
-                "Peer %s closed the connection during the handshake: %s",
+            _LOGGER.warning(
+                "peer %s closed the connection during the handshake: %s",
                 url,
                 closed,
             )
@@ -598,8 +598,8 @@
         refusal: result_codes.Refusal,
         address: str,
     ) -> None:
-        _LOG.warning(
-            "Refusing the connection with peer %s: %s", address, refusal.detail
+        _LOGGER.warning(
+            "refusing the connection with peer %s: %s", address, refusal.detail
         )
         self._count_message("Hello", refusal.code.name.lower())
         # Result codes from 4000 are also valid private websocket close codes.
@@ -646,8 +646,8 @@
     def _check_superseded(self, closed: exceptions.ConnectionClosed) -> None:
         if closed.rcvd is None or closed.rcvd.reason != _SUPERSEDED:
             return
-        _LOG.error(
-            "A process started later uses the host name %s", self.host.name
+        _LOGGER.error(
+            "a process started later uses the host name %s", self.host.name
         )
         for callback in self.on_superseded:
             callback()
@@ -736,8 +736,8 @@
                     case Success(codec.UnknownType(name)):
                         # Not counted by name, since peers could send any
                         # number of names and so of label values.
-                        _LOG.info(
-                            "Ignoring peer message of unknown type %s", name
+                        _LOGGER.info(
+                            "ignoring peer message of unknown type %s", name
                         )
                         self._count_message("unknown", "ignored")
                         continue
@@ -749,8 +749,8 @@
                     case Failure(result_codes.Refusal() as invalid):
                         refusal = invalid
             self._count_message("invalid", refusal.code.name.lower())
-            _LOG.warning(
-                "Closing the connection to peer %s: %s",
+            _LOGGER.warning(
+                "closing the connection to peer %s: %s",
                 connection.host.name,
                 refusal.detail,
             )
@@ -822,7 +822,7 @@
         try:
             reply = await handler(name, frame.message)
         except Exception:
-            _LOG.exception("Error handling a message from peer %s", name)
+            _LOGGER.exception("error handling a message from peer %s", name)
             self._count_message(type(frame.message).__name__, "handler_failed")
             return
         finally:
@@ -834,7 +834,9 @@
         try:
             connection.put(codec.encode(reply, reply_to=frame.message_id))
         except ValueError as error:
-            _LOG.error("Could not send the reply to peer %s: %s", name, error)
+            _LOGGER.error(
+                "could not send the reply to peer %s: %s", name, error
+            )
             self._count_message(type(reply).__name__, "too_large")
 
     def _spawn(self, coroutine: Any) -> "asyncio.Task[Any]":
@@ -849,7 +851,7 @@
             return
         error = task.exception()
         if not isinstance(error, _TRANSPORT_ERRORS):
-            _LOG.error("Unexpected error in a peer task", exc_info=error)
+            _LOGGER.error("unexpected error in a peer task", exc_info=error)
 
     def _count_message(self, kind: str, outcome: str) -> None:
         if self.metrics is not None:
--- a/src/samphirelug/components/peers/model.py
+++ b/src/samphirelug/components/peers/model.py
@@ -13,7 +13,8 @@
 from samphirelug.components.quota import model as quota_model
 from samphirelug import core
 
-# Rejects NaN, which would make every comparison of wait times false.
+# The bound also rejects NaN, which would make every comparison of wait times
+# false.
 WaitSeconds = Annotated[float, pydantic.Field(ge=0.0)]
 NonNegativeInt = Annotated[int, pydantic.Field(ge=0, lt=2**63)]
 
@@ -117,7 +118,7 @@
 
 
 class UnitRequest(NamedTuple):
-    """Request units that are not bundled, such as bytes of a link."""
+    """Request plain units of single keys, such as bytes of a link."""
 
     units: tuple[quota_model.UnitAmount, ...]
 
@@ -131,7 +132,7 @@
 
 
 class UnitGrant(NamedTuple):
-    """Lend units that are not bundled; empty if none are available."""
+    """Lend plain units of single keys; empty if none are available."""
 
     loan_id: str
     units: tuple[quota_model.UnitAmount, ...]
@@ -155,7 +156,7 @@
     answer: core.Answer | None
     # Milliseconds left until the token expires.
     ttl_ms: int
-    # Identifies the request that used the token; empty if unknown.
+    # Digest of the request that used the token; empty if unknown.
     digest: bytes = b""
 
 
--- a/src/samphirelug/components/peers/relay.py
+++ b/src/samphirelug/components/peers/relay.py
@@ -213,27 +213,27 @@
     def tick(
         self,
         *,
-        own: model.Heartbeat,
-        zone: Iterable[model.Heartbeat],
+        own_heartbeat: model.Heartbeat,
+        zone_heartbeats: Iterable[model.Heartbeat],
         build_summary: bool,
         now: float,
     ) -> tuple[OutgoingMessage, ...]:
         """Return the messages to send in this tick, within the rate limits.
 
-        The argument zone has the heartbeats of the other live hosts in this
-        host's zone. The zone's primary watcher sets build_summary.
+        The zone_heartbeats are those of the other live hosts in this host's
+        zone. The zone's primary watcher sets build_summary.
         """
         self.highest_revision = max(
-            self.highest_revision, own.catalogue_revision
+            self.highest_revision, own_heartbeat.catalogue_revision
         )
         if self.watcher and build_summary:
-            self._report_zone([own, *zone], now)
-        self._expire(now)
+            self._report_zone([own_heartbeat, *zone_heartbeats], now)
+        self._remove_expired(now)
         self._refill_budgets(now)
         names = list(self.outboxes)
         if not names:
             return ()
-        # Rotates the order of the peers, so that the rate limits delay all of
+        # The order of the peers rotates, so that the rate limits delay all of
         # them equally.
         self._next_peer = (self._next_peer + 1) % len(names)
         rotation = names[self._next_peer :] + names[: self._next_peer]
@@ -448,7 +448,7 @@
 
     # Expiry and rate limits.
 
-    def _expire(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         expired = itertools.takewhile(
             lambda item: now - item[1] > const.SIGHTING_RETENTION_S,
             self._seen.items(),
@@ -506,8 +506,10 @@
             sightings=tuple(self._take_within_budget(outbox.sightings)),
             positions=self._take_positions(outbox),
             summaries=tuple(
-                _advance_clocks(self.zones.get(part.zone.name), part, now)
-                for part in self._take_within_budget(outbox.summaries)
+                _advance_clocks(
+                    self.zones.get(summary.zone.name), summary, now
+                )
+                for summary in self._take_within_budget(outbox.summaries)
             ),
             lowest_revision=0 if outbox.primary_watcher else lowest,
             highest_revision=self.highest_revision,
--- a/src/samphirelug/components/placement/cold.py
+++ b/src/samphirelug/components/placement/cold.py
@@ -9,7 +9,8 @@
 import xxhash
 
 Incarnation = tuple[str, int]
-# Keeps the interval finite when a service is configured without a rate.
+# This minimum keeps the interval finite when a service is configured without
+# a rate.
 MIN_REQUESTS_PER_S = 0.01
 
 
@@ -55,7 +56,7 @@
         )
 
     def remove(self, incarnation: Incarnation) -> None:
-        """Remove the state of an incarnation that is warm or has left."""
+        """Remove the state of an incarnation that has left."""
         self.next_allowed_at_s.pop(incarnation, None)
 
 
--- a/src/samphirelug/components/steering/lookup.py
+++ b/src/samphirelug/components/steering/lookup.py
@@ -124,7 +124,9 @@
     ) -> Result[CachedAnswer, result_codes.Refusal]:
         if not view.works:
             return _refuse(
-                result_codes.ResultCode.NO_CATALOGUE, "no catalogue yet", 1.0
+                result_codes.ResultCode.NO_CATALOGUE,
+                "this entry host has no catalogue yet",
+                1.0,
             )
         entry = view.works.get(work)
         if entry is None:
@@ -199,8 +201,8 @@
                 clock_ms=preferred.clock_ms,
                 home_region=home_region,
                 view=view,
-                # Expires with the candidates, so that an answer does not name
-                # a leaving host for longer.
+                # The answer expires with the candidates, so that it does not
+                # name a leaving host for longer.
                 valid_until_s=candidates.valid_until_s,
             )
         )
--- a/src/samphirelug/entry_host.py
+++ b/src/samphirelug/entry_host.py
@@ -46,7 +46,7 @@
 from samphirelug import settings as settings_module
 from samphirelug import status
 
-LOGGER = logging.getLogger(__name__)
+_LOGGER = logging.getLogger(__name__)
 # Added to the time for which callers keep look-up answers, for answers that
 # are still in transit.
 LEAVING_MARGIN_S = 1.0
@@ -59,8 +59,8 @@
 # The hosts of other regions take over a region's quota shares this long after
 # the last heartbeat of its last host.
 TAKEOVER_DELAY_S = 30.0
-# Represents the hosts of a region from which no heartbeat was received yet.
-# Not a valid name of a host.
+# Placeholder for the hosts of a region from which no heartbeat was received
+# yet. Not a valid name of a host.
 PLACEHOLDER_HOST = "?"
 
 
@@ -282,6 +282,11 @@
         self._connect_components()
 
     def _connect_components(self) -> None:
+        """Register the callbacks between components.
+
+        The process stops when a peer reports that a newer process of the same
+        entry host has superseded it.
+        """
         self.health.on_sighting.append(self.mesh.broadcast)
         self.health.on_sighting.append(self._log_sighting)
         self.mesh.on_superseded.append(self.stop_requested.set)
@@ -311,12 +316,12 @@
         )
 
     def hosts_of(self, region: str) -> frozenset[str]:
-        """Return the entry hosts of a region; empty once it has none.
+        """Return the names of a region's entry hosts; empty if it has none.
 
-        If no host of the region was heard yet, or the last one was lost less
-        than TAKEOVER_DELAY_S ago, return those last known. Otherwise other
-        hosts would take over the region's quota shares at each start, and
-        they return them only slowly.
+        For TAKEOVER_DELAY_S after the start of this process or the loss of
+        the last host of the region, return the hosts last known instead.
+        Otherwise hosts of other regions would take over the quota shares of
+        the region at each start, and would return them only slowly.
         """
         hosts = [peer.heartbeat.host for peer in self.mesh.live_peers()]
         hosts.append(self.host)
@@ -379,7 +384,7 @@
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.stop_requested.set)
-        LOGGER.info(
+        _LOGGER.info(
             "starting entry host %s as incarnation %s",
             self.host.name,
             self.host.incarnation,
@@ -409,7 +414,7 @@
         if self.state is core.EntryHostState.STARTING:
             self.state = core.EntryHostState.SERVING
             self.mesh.heartbeat_now()
-            LOGGER.info(
+            _LOGGER.info(
                 "serving with catalogue position %d", self.catalogue.position
             )
 
@@ -421,7 +426,9 @@
         """Stop without interrupting requests; see design.md, section 8."""
         was_serving = self.state is core.EntryHostState.SERVING
         self.state = core.EntryHostState.LEAVING
-        LOGGER.info("stopping: look-up answers no longer list this entry host")
+        _LOGGER.info(
+            "stopping: look-up answers no longer list this entry host"
+        )
         self.mesh.heartbeat_now()
         if was_serving and self.mesh.live_peers():
             keep_s = self.settings.lookup_keep_s + LEAVING_MARGIN_S
@@ -440,7 +447,7 @@
             await listener.close()
         await self.operator_server.stop()
         await self.mesh.stop()
-        LOGGER.info("entry host stopped")
+        _LOGGER.info("entry host stopped")
 
     async def _wait_in_flight(self) -> None:
         """Wait for requests, and for runs whose callers have disconnected."""
@@ -448,8 +455,8 @@
         while self._in_flight() and self.timer.monotonic() < end_s:
             await self.timer.sleep(POLL_INTERVAL_S)
         if self._in_flight():
-            LOGGER.error(
-                "%d requests still in flight when the stop's wait timed out",
+            _LOGGER.error(
+                "time limit of the stop reached with %d requests in flight",
                 self._in_flight(),
             )
 
@@ -458,7 +465,7 @@
 
     def _log_sighting(self, sighting: peers_model.Sighting) -> None:
         """Log a change of the state of a backend server."""
-        LOGGER.info(
+        _LOGGER.info(
             "backend server %s is %s",
             sighting.server,
             "leaving" if sighting.leaving else "live again",
@@ -469,7 +476,7 @@
         self, sender: str, message: peers_model.Message
     ) -> None:
         assert isinstance(message, peers_model.Sighting)
-        LOGGER.debug("peer %s reported server %s", sender, message.server)
+        _LOGGER.debug("peer %s reported server %s", sender, message.server)
         self.health.apply_sighting(message)
 
     async def _on_grant_request(
@@ -492,7 +499,7 @@
         return self.admission.grant_units(message, borrower=sender)
 
     def _on_listed_servers(
-        self, states: tuple[hosts.ServerState, ...]
+        self, states: tuple[hosts.ListedServer, ...]
     ) -> None:
         for state in states:
             names = (state.server,)
@@ -508,7 +515,7 @@
         self.health.set_known_servers(view.servers)
         self.host_list.publish()
         self.mesh.heartbeat_now()
-        LOGGER.info(
+        _LOGGER.info(
             "catalogue position %d is in force", self.catalogue.position
         )
 
@@ -523,7 +530,7 @@
             return
         error = task.exception()
         if error is not None:
-            LOGGER.critical(
+            _LOGGER.critical(
                 "background task failed; stopping the entry host",
                 exc_info=error,
             )
--- a/src/samphirelug/forwarding_host.py
+++ b/src/samphirelug/forwarding_host.py
@@ -34,15 +34,15 @@
 from samphirelug.helpers import timer as timer_helper
 
 _LOGGER = logging.getLogger(__name__)
-# Fraction of the grace period of a stop before the listener stops. Within it,
-# callers learn that the host is stopping.
+# Fraction of the grace period of a stop for which the listener continues to
+# accept connections, until callers have learnt that the host is stopping.
 LISTEN_FRACTION = 0.35
 # Reserved at the end of the grace period for closing connections.
 CLOSE_MARGIN_S = 0.4
 STOP_POLL_INTERVAL_S = 0.05
 # Pause after received changes of backend servers, as a fraction of the time
-# within which hosts must act on a leaving server. The rest of that time allows
-# for a slow store and for a connection that must be opened again.
+# within which hosts must act on a draining server. The rest of that time
+# allows for a slow store and for a connection that must be opened again.
 SERVER_PAUSE_FRACTION = 0.35
 # Interval at which the gauge samphirelug_belief is updated.
 BELIEF_INTERVAL_S = 1.0
@@ -91,7 +91,7 @@
             host_count=lambda: self.roster.count,
         )
         self.sender = io_pool.PooledSender(timer=timer, names=names)
-        self.registry.on_removed.append(self.sender.forget)
+        self.registry.on_removed.append(self.sender.close_idle)
         self.listener = io_pipeline.CallerListener(
             handler=handler.ForwardingHandler(
                 forwarder=forwarder.Forwarder(
@@ -162,6 +162,7 @@
         await self._stop()
 
     async def _stop(self) -> None:
+        """Announce the stop, then close connections when they are idle."""
         started_at_s = self.timer.monotonic()
         close_at_s = started_at_s + self.settings.stop_grace_s - CLOSE_MARGIN_S
         _LOGGER.info(
--- a/src/samphirelug/forwarding_settings.py
+++ b/src/samphirelug/forwarding_settings.py
@@ -43,6 +43,8 @@
     zone: core.AvailabilityZone
     # Regions by availability zone.
     zones: Mapping[str, str]
+    # Addresses to listen on, for the requests of callers, readiness probes,
+    # look-ups, datagrams of other entry hosts and reads of the metrics.
     callers: SocketAddress
     ready: SocketAddress
     directory: SocketAddress
@@ -54,6 +56,6 @@
     stop_grace_s: float
     # Longest time for which callers may reuse a look-up answer.
     lookup_keep_s: float
-    # Time within which hosts stop sending new requests to a leaving server.
+    # Time within which hosts stop sending new requests to a draining server.
     drain_s: float
     resources: HostResources
--- a/standins/checks.py
+++ b/standins/checks.py
@@ -13,12 +13,12 @@
 class Call(NamedTuple):
     """Pair a caller's request with its result."""
 
-    # Identifies the same piece of work across repeated requests.
+    # ID of a piece of work, the same for its repeated requests.
     work_id: str
     body: str
     result: caller.CallResult
     # Region of the caller.
-    home: str
+    home_region: str
 
 
 class Interval(NamedTuple):
--- a/standins/simulation/admission.py
+++ b/standins/simulation/admission.py
@@ -59,7 +59,7 @@
         """Record the requested units."""
         self.requested_units[key] = needed
 
-    def take(
+    def try_acquire(
         self,
         *,
         work: str,  # noqa: ARG002
@@ -88,7 +88,7 @@
             callback()
 
 
-class Catalogue:
+class FakeCatalogue:
     """Provide a fixed view in place of the catalogue state."""
 
     def __init__(self, view: catalogue_view.CatalogueView) -> None:
@@ -110,7 +110,7 @@
     ) -> None:
         self.timer = timer or timer_helper.ManualTimerService(start_s=100.0)
         self.rng = random.Random(seed)
-        self.catalogue = Catalogue(view or builders.make_view())
+        self.catalogue = FakeCatalogue(view or builders.make_view())
         self.ledger = quota_ledger.QuotaLedger(timer=self.timer)
         self.limits = limits.quota_limits(self.catalogue.view)
         self.ledger.set_limits(self.limits)
@@ -122,7 +122,7 @@
                 if limit.group.startswith("link/")
             }
         for group in groups:
-            self.allot_seat(group)
+            self.allocate_seat(group)
         self.health = steering_health.ServerHealth(timer=self.timer)
         self.fake_borrower = FakeBorrower()
         borrower: ports.UnitBorrower = self.fake_borrower
@@ -150,8 +150,8 @@
         )
         self.request_ids = iter(range(10**9))
 
-    def allot_seat(self, group: str) -> None:
-        """Allot all units of a group to this host."""
+    def allocate_seat(self, group: str) -> None:
+        """Allocate all units of a group to this host."""
         units = {
             key: limit.limit
             for key, limit in self.limits.items()
@@ -166,7 +166,7 @@
         rank: core.Rank = core.Rank.INTERACTIVE,
         *,
         work: str | None = None,
-        home: str = "tallinn",
+        home_region: str = "tallinn",
         deadline_s: float = 10.0,
         body: bytes = b"",
     ) -> core.CallerRequest:
@@ -181,7 +181,7 @@
             headers=(),
             body=body,
             deadline_at_s=self.timer.monotonic() + deadline_s,
-            home_region=home,
+            home_region=home_region,
             run_token=None,
         )
 
@@ -199,7 +199,7 @@
     async def admit(self, request: core.CallerRequest) -> Outcome | None:
         """Return the immediate outcome, None if the request is queued."""
         task = self.submit(request)
-        await settle()
+        await run_ready_tasks()
         return task.result() if task.done() else None
 
     async def fill(
@@ -229,7 +229,7 @@
         """Advance the clock in steps and run the ready tasks after each."""
         for _ in range(max(1, round(seconds / step_s))):
             self.timer.advance(step_s)
-            await settle()
+            await run_ready_tasks()
 
     def fail_region(self, region: str) -> None:
         """Mark every server of a region as refusing connections."""
@@ -244,7 +244,7 @@
                 )
 
 
-async def settle() -> None:
+async def run_ready_tasks() -> None:
     """Run the tasks that are ready."""
     for _ in range(4):
         await asyncio.sleep(0)
@@ -338,7 +338,7 @@
                 # A step of zero would never reach the arrival.
                 advance_s = min(advance_s, max(1e-9, next_timer_s))
             harness.timer.advance(advance_s)
-            await settle()
+            await run_ready_tasks()
         tasks.append(asyncio.ensure_future(run_request(load)))
         await asyncio.sleep(0)
     await harness.advance(12.0)
@@ -376,6 +376,7 @@
         run_until(arrival_s)
         if len(end_times) < slots:
             start(arrival_s, arrival_s, load)
+        # As many as the queues of the three ranks hold together.
         elif len(queue) < 1536:
             queue.append((arrival_s, load))
     run_until(duration_s)
--- a/standins/simulation/peers.py
+++ b/standins/simulation/peers.py
@@ -42,8 +42,8 @@
         self.position = 1
         self.sent = self.received = 0
         self.sent_bytes = self.received_bytes = 0
-        # Maps servers to the time at which this host received a sighting of
-        # them first.
+        # Time at which this host first received a sighting of a server, by
+        # server.
         self.received_at: dict[str, float] = {}
 
     def heartbeat(self, now: float) -> model.Heartbeat:
@@ -90,7 +90,7 @@
             for rank, name in enumerate(topology.watchers_of(zone, names)):
                 self.hosts[name].watcher = True
                 self.hosts[name].primary_watcher = rank == 0
-        # Hosts that are not watchers only connect to those of their zone.
+        # Other hosts than watchers connect only to the watchers of their zone.
         for node in nodes:
             simulated = self.hosts[node.name]
             members = self.zones[node.zone.name]
@@ -156,16 +156,16 @@
         if self.full_mesh:
             return
         for name, simulated in self.hosts.items():
-            zone: tuple[model.Heartbeat, ...] = ()
+            zone_heartbeats: tuple[model.Heartbeat, ...] = ()
             if simulated.primary_watcher:
-                zone = tuple(
+                zone_heartbeats = tuple(
                     member.heartbeat(self.now)
                     for member in self.zones[simulated.host.zone.name]
                     if member is not simulated
                 )
             for outgoing in simulated.relay.tick(
-                own=simulated.heartbeat(self.now),
-                zone=zone,
+                own_heartbeat=simulated.heartbeat(self.now),
+                zone_heartbeats=zone_heartbeats,
                 build_summary=simulated.primary_watcher,
                 now=self.now,
             ):
@@ -183,11 +183,14 @@
         for simulated in self.hosts.values():
             if simulated.primary_watcher:
                 name = simulated.host.zone.name
-                zone = [
+                heartbeats = [
                     member.heartbeat(self.now) for member in self.zones[name]
                 ]
                 simulated.relay.tick(
-                    own=zone[0], zone=zone[1:], build_summary=True, now=0.0
+                    own_heartbeat=heartbeats[0],
+                    zone_heartbeats=heartbeats[1:],
+                    build_summary=True,
+                    now=0.0,
                 )
                 summaries[name] = simulated.relay.zones[name]
         for simulated in self.hosts.values():
@@ -239,8 +242,8 @@
     while fleet.now < 2.0:
         fleet.step()
     fleet.reset_counters()
-    # Simulates 20,000 catalogue changes a day and the sightings of 450 hosts a
-    # day that leave and return. Each host gets a change after 0.1 to 1.1 s.
+    # The load is 20,000 catalogue changes a day and the sightings of 450 hosts
+    # a day that leave and return. Each host gets a change after 0.1 to 1.1 s.
     change_s = 86_400 / 20_000
     sighting_s = 86_400 / 900
     start = fleet.now
--- a/tests/components/catalogue/test_sync.py
+++ b/tests/components/catalogue/test_sync.py
@@ -192,7 +192,7 @@
     run_in_cluster(body)
 
 
-def test_start_without_store_or_peers() -> None:
+def test_start_without_store_and_peers_waits_for_the_store() -> None:
     """Guard against serving without a catalogue, or never recovering."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
@@ -264,7 +264,7 @@
     run_in_cluster(body)
 
 
-def test_store_calls_during_and_after_an_outage() -> None:
+def test_hosts_limit_calls_in_an_outage_and_recover() -> None:
     """Guard against retries without a pause, and against late recovery."""
 
     async def body(cluster: catalogue_cluster.Cluster) -> None:
@@ -328,8 +328,8 @@
         # Positions of ready peers when a host started, until it is ready.
         self.ready_positions: dict[str, dict[str, int]] = {}
 
-    def note_start(self, name: str) -> None:
-        """Forget the host's previous run and record its peers' positions."""
+    def record_start(self, name: str) -> None:
+        """Reset the revisions of a host and record its peers' positions."""
         self.revisions[name] = {}
         self.ready_positions[name] = {
             other: host.state.position
@@ -357,6 +357,7 @@
 
 
 async def run_schedule(seed: int, steps: list[tuple[str, str, float]]) -> None:
+    """Run the steps, end all faults and check the hosts."""
     cluster = catalogue_cluster.Cluster(seed=seed)
     checker = RegressionChecker(cluster=cluster)
     faults = cluster.store_core.faults
@@ -370,7 +371,7 @@
     cluster.write_work(cap=1)
     for name in ("a1", "a2", "a3", "b1"):
         cluster.start(name, zone=zones.get(name, "tartu-a"))
-        checker.note_start(name)
+        checker.record_start(name)
     await advance(5.0)
     for action, name, pause_s in steps:
         if action == "write":
@@ -385,7 +386,7 @@
             await cluster.stop(name)
             cluster.partitioned.discard(name)
             cluster.start(name, zone=zones.get(name, "tartu-a"))
-            checker.note_start(name)
+            checker.record_start(name)
         elif action == "partition":
             cluster.partitioned.add(name)
             cluster.hosts[name].store.reachable = False
--- a/tests/components/quota/test_link_bytes.py
+++ b/tests/components/quota/test_link_bytes.py
@@ -29,7 +29,7 @@
         harness = simulation.Harness(seats=("tartu",))
         initial = harness.ledger.free(REQUEST_KEY)
         for traffic in (None, backend_model.Traffic()):
-            request = harness.request(home="tartu", body=b"x" * 100)
+            request = harness.request(home_region="tartu", body=b"x" * 100)
             outcome = await harness.admit(request)
             assert isinstance(outcome, Success)
             header_bytes = const.LINK_HEADER_BYTES
@@ -123,7 +123,10 @@
 
 @pytest.mark.parametrize("borrows_bundle", [True, False])
 def test_bundle_above_the_own_share_is_admitted(borrows_bundle: bool) -> None:
-    """Without a loan, an answer of 16 MiB at 300 Mbit/s waits forever."""
+    """Guard against an answer of 16 MiB at 300 Mbit/s that waits forever.
+
+    It needs more units than the host's own share, and thus a loan.
+    """
     view = builders.make_view()
     view.works["case-export"]["max_answer_bytes"] = 16 * 1024 * 1024
     needed = 16 * 1024 * 1024 + const.LINK_HEADER_BYTES
@@ -167,7 +170,7 @@
         harnesses["eh1"].ledger.try_hold(
             quota_model.Bundle("tallinn", "", (all_units,))
         )
-        request = harnesses["eh1"].request(core.Rank.EXPORT, home=home)
+        request = harnesses["eh1"].request(core.Rank.EXPORT, home_region=home)
         task = harnesses["eh1"].submit(request)
         await harnesses["eh1"].advance(3.0)
         remaining = sum(
